--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""docs/CAPACITY.md worked out from the slopes that are kept: `python -m benchmarks.capacity --write FILE`."""
+"""Computes docs/CAPACITY.md from the saved slopes: `python -m benchmarks.capacity --write FILE`."""
--- a/benchmarks/capacity/first_readings.py
+++ b/benchmarks/capacity/first_readings.py
@@ -1,4 +1,4 @@
-"""The first readings of another harness, which the operators gave to be checked, beside this one's."""
+"""Early readings of another test harness, provided by the operators, compared with those of this project."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstReading:
-    """`low` and `high` are the other harness's; `found` is ours."""
+    """`low` and `high` are from the other harness, `found` is from this project."""
 
     quantity: str
     unit: str
@@ -19,7 +19,7 @@
 
     @property
     def verdict(self) -> str:
-        """Whether the ranges meet, or by which factor ours lies outside of theirs."""
+        """Whether the ranges overlap, otherwise the ratio of our value to the nearest end of their range."""
         value, low, high = self.found.value, self.found.low, self.found.high
         if value is None or low is None or high is None:
             return "not measured"
@@ -31,7 +31,7 @@
 
 def first_readings(slopes: Slopes) -> list[FirstReading]:
     def each(quantity: str, unit: str, low: float, high: float, name: str) -> FirstReading:
-        return FirstReading(quantity, unit, low, high, slopes.each(name))
+        return FirstReading(quantity, unit, low, high, slopes.per_unit(name))
 
     view = "a common start, ten periods, {} members"
     started = ((100, 0.9e3), (200, 4.1e3), (400, 9.1e3))
@@ -57,8 +57,12 @@
         each("start, an owed mail", "s", 0.018e-3, 0.018e-3, "owed mail: start"),
         *(
             FirstReading(
-                view.format(members), "B", told, told, slopes.point("common start, first ten: bytes", members)
+                view.format(members),
+                "B",
+                value,
+                value,
+                slopes.measured_at("common start, first ten: bytes", members),
             )
-            for members, told in started
+            for members, value in started
         ),
     ]
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms that carry a need of the full size, or would."""
+"""Mechanisms that meet a need of the full deployment size, or would."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """`module` is the one that carries it, once the project has it; empty where none is planned."""
+    """`module` implements the mechanism, or will; empty if none is planned."""
 
     name: str
     module: str = ""
@@ -28,18 +28,18 @@
 VERSIONED_CHANGES = Mechanism("configuration as versioned changes", "laureldock/sources/controlled.py")
 PLACEMENT = Mechanism("destinations placed on some of the dispatchers")
 DISK_BACKLOG = Mechanism("a backlog that lives on disk")
-TOLD_OUTAGES = Mechanism("what is down, learned once and told")
+SHARED_OUTAGES = Mechanism("what is down, learned once and told")
 VIEWS_BY_REGION = Mechanism("views by region")
 QUORUM = Mechanism("followers and a quorum among the control machines")
-COPIES = Mechanism("copies of owed mails on other machines")
-IDLE_BY_AGE = Mechanism("kept connections in the order of their age, not by a look at every route")
+MESSAGE_COPIES = Mechanism("copies of owed mails on other machines")
+CONNECTIONS_BY_AGE = Mechanism("kept connections in the order of their age, not by a look at every route")
 MECHANISMS = [
     VERSIONED_CHANGES,
     PLACEMENT,
     DISK_BACKLOG,
-    TOLD_OUTAGES,
+    SHARED_OUTAGES,
     VIEWS_BY_REGION,
     QUORUM,
-    COPIES,
-    IDLE_BY_AGE,
+    MESSAGE_COPIES,
+    CONNECTIONS_BY_AGE,
 ]
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -1,4 +1,4 @@
-"""Figures and tables as Markdown."""
+"""Formats figures and tables as Markdown."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from benchmarks.capacity.mechanisms import module_exists
 from benchmarks.capacity.rows import Basis, Estimate, Row
 
-LONG = 120  # seconds from which a time is told in minutes
-MANY = 1000  # from which a figure is told in whole ones
-BENT = 0.1  # residual above which a row says that its line is not straight
+MIN_SECONDS_IN_MINUTES = 120  # from this time on, seconds are printed as minutes
+MIN_ROUNDED = 1000  # from this value on, figures are printed without decimals
+BENT_RESIDUAL = 0.1  # residual above which a row states that its line is not straight
 PREFIXES = ((1e12, "T"), (1e9, "G"), (1e6, "M"), (1e3, "k"))
 
 
-def number(value: float) -> str:
-    """Three figures, with a prefix where it is large and m or u where it is small."""
+def format_number(value: float) -> str:
+    """Three significant digits with an SI prefix (u for micro)."""
     size = abs(value)
     for factor, prefix in PREFIXES:
         if size >= factor:
@@ -24,56 +24,56 @@
     return f"{value * 1e3:.3g} m" if 0 < size < 0.1 else f"{value:.3g} "
 
 
-def quantity(value: float | None, unit: str) -> str:
-    """A value with its unit."""
+def format_quantity(value: float | None, unit: str) -> str:
+    """Format a value with its unit."""
     if value is None:
         return "not measured"
-    if unit == "s" and value >= LONG:
+    if unit == "s" and value >= MIN_SECONDS_IN_MINUTES:
         return f"{value / 60:.3g} min"
     if unit in ("B", "s", "B/s"):
-        return f"{number(value)}{unit}"
-    figures = f"{value:,.0f}" if abs(value) >= MANY else f"{value:.4g}"
+        return f"{format_number(value)}{unit}"
+    figures = f"{value:,.0f}" if abs(value) >= MIN_ROUNDED else f"{value:.4g}"
     return f"{figures} {unit}".strip()
 
 
-def ranged(estimate: Estimate, unit: str) -> str:
-    """A value with its range."""
+def format_range(estimate: Estimate, unit: str) -> str:
+    """Format an estimate with its range."""
     if estimate.value is None or estimate.low is None or estimate.high is None:
         return "not measured"
-    told = quantity(estimate.value, unit)
+    text = format_quantity(estimate.value, unit)
     if estimate.low == estimate.high:
-        return told
-    return f"{told} ({quantity(estimate.low, unit)} to {quantity(estimate.high, unit)})"
+        return text
+    return f"{text} ({format_quantity(estimate.low, unit)} to {format_quantity(estimate.high, unit)})"
 
 
-def basis(estimate: Estimate) -> str:
-    """How a value was come by, and whether its line bends."""
-    bent = estimate.residual > BENT and estimate.basis is not Basis.ASSUMED
+def basis_cell(estimate: Estimate) -> str:
+    """The basis of an estimate, and whether its line is bent."""
+    bent = estimate.residual > BENT_RESIDUAL and estimate.basis is not Basis.ASSUMED
     return estimate.basis + (f", bent ({estimate.residual:.0%})" if bent else "")
 
 
-def ratio(row: Row) -> str:
-    """Need over budget; empty where there is no budget."""
+def ratio_cell(row: Row) -> str:
+    """Ratio of need to budget; empty if there is no budget."""
     return "" if row.ratio is None else f"{row.ratio:.3g}"
 
 
-def carried(row: Row) -> str:
-    """The module that carries a need, or that none does."""
-    if module_exists(row.carrier):
-        return f"`{row.carrier}`"
-    return f"missing (`{row.carrier}`)" if row.carrier else "missing"
+def module_cell(row: Row) -> str:
+    """The module that implements a need, or that it is missing."""
+    if module_exists(row.implemented_by):
+        return f"`{row.implemented_by}`"
+    return f"missing (`{row.implemented_by}`)" if row.implemented_by else "missing"
 
 
-def line(*cells: str) -> str:
-    """One line of a table."""
+def table_row(*cells: str) -> str:
+    """One row of a table."""
     return "| " + " | ".join(cells) + " |"
 
 
 def table(head: str, lines: Iterable[str]) -> str:
-    """A table with its head, and an empty line behind it."""
+    """A table with its head."""
     return "\n".join([head, "|" + " --- |" * (head.count("|") - 1), *lines]) + "\n"
 
 
 def section(title: str, *parts: str) -> str:
-    """A heading and what stands below it."""
+    """A heading and the parts below it."""
     return "\n".join([f"\n## {title}\n", *parts])
--- a/benchmarks/capacity/texts.py
+++ b/benchmarks/capacity/texts.py
@@ -1,4 +1,4 @@
-"""What stands on the page beside its tables."""
+"""Texts of the page outside its tables."""
 
 from __future__ import annotations
 
--- a/benchmarks/change_cost.py
+++ b/benchmarks/change_cost.py
@@ -1,11 +1,11 @@
-"""Processor time of one change of the configuration in a dispatcher, beside a reload of the whole, by size.
+"""CPU time of one configuration change in a dispatcher, compared with a full reload, by size.
 
     python -m benchmarks.change_cost [--sizes 1000,10000,100000,370000] [--out FILE]
 
-A dispatcher is put together without sockets, with one endpoint for each destination; changes are handed to
-it encoded, as they come from a controller. Each value is the processor time (time.process_time) of one change
-with the turn of the decisions that follows it. Collections of garbage that fall into a change count; those of
-the oldest generation look at all sizes held, some 2.5 GB with the largest.
+A dispatcher is assembled without sockets, with one endpoint for each destination. Changes are passed to it
+encoded, as they come from a controller. Each value is the CPU time (time.process_time) of one change and of
+the turn of the delivery policy that follows it. Garbage collections during a change are included; those of
+the oldest generation traverse the dispatchers of all sizes, about 2.5 GB with the largest.
 """
 
 from __future__ import annotations
@@ -54,12 +54,12 @@
 }
 
 
-def quiet(logger: object, name: str, event: object) -> str:
+def drop_event(logger: object, name: str, event: object) -> str:
     raise structlog.DropEvent
 
 
-class Bench:
-    """A dispatcher of that many destinations."""
+class BenchDispatcher:
+    """A dispatcher with `size` destinations."""
 
     def __init__(self, size: int, folder: Path) -> None:
         self.size, self.step = size, 0
@@ -67,24 +67,24 @@
         folder.mkdir()
         plan = msgspec.convert(BASE, Plan, dec_hook=decode)
         self.assembly = Assembly(plan, folder, self.reactor, print)  # type: ignore[arg-type]
-        self.assembly.core.log = structlog.wrap_logger(None, processors=[quiet])
+        self.assembly.core.log = structlog.wrap_logger(None, processors=[drop_event])
         assert self.assembly.listed is not None
         self.assembly.listed.start()
         self.assembly.replace_entries(endpoint(number) for number in range(size))
         self.turn()
 
     def turn(self) -> None:
-        """The decisions' turn, as the reactor would call it next."""
+        """Run the turn of the delivery policy that the reactor would call next."""
         self.reactor.advance(0)
 
     def timed(self, body: bytes) -> float:
-        began = time.process_time()
+        started_at = time.process_time()
         self.assembly.apply_change(decode_change(body))
         self.turn()
-        return time.process_time() - began
+        return time.process_time() - started_at
 
     def destination(self) -> int:
-        """Another one for each change, spread over all."""
+        """A different destination for each change, spread over all of them."""
         self.step += 1
         return self.step * 7919 % self.size
 
@@ -102,24 +102,26 @@
         return self.timed(encode_change(Change((TermsEntry(terms_name(value), value),))))
 
     def put_and_remove(self) -> float:
-        """Of an endpoint beside the one that is there: the time of both changes."""
+        """Add and remove a second endpoint of a destination: the time of both changes."""
         number = self.destination()
         entry = endpoint(number, 9999, "second")
-        took = self.timed(encode_change(Change((entry,))))
-        return took + self.timed(encode_change(Change(removals=(EntryKey(EntryKind.ENDPOINT, entry.name),))))
+        seconds = self.timed(encode_change(Change((entry,))))
+        return seconds + self.timed(
+            encode_change(Change(removals=(EntryKey(EntryKind.ENDPOINT, entry.name),)))
+        )
 
     def reload(self) -> float:
-        """The old way: the whole file, one address of it another. Reading and checking it are not counted."""
+        """Full reload with one address changed. Reading and validating the file is not included."""
         assert self.assembly.catalog is not None and self.assembly.listed is not None
         catalog, number = self.assembly.catalog, self.destination()
         catalog.endpoints[f"e{number}"] = endpoint(number, 10000 + self.step % 50000).value
         plan = catalog.plan()
-        began = time.process_time()
+        started_at = time.process_time()
         fresh = Prepared.of(plan)
         self.assembly.core.book.retell(plan, fresh.terms)
         self.assembly.listed.reread(fresh.listing)
         self.turn()
-        return time.process_time() - began
+        return time.process_time() - started_at
 
 
 def endpoint(number: int, port: int = 8080, name: str = "") -> EndpointEntry:
@@ -130,78 +132,85 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class Repetitions:
     rounds: int
-    each: int  # timed in one round
+    calls_per_round: int
 
 
-WAYS = {
-    "address": Way(10, 30),
-    "window": Way(10, 30),
-    "terms": Way(10, 30),
-    "put_and_remove": Way(10, 30),
-    "reload": Way(5, 1),
+CHANGE_KINDS = {
+    "address": Repetitions(10, 30),
+    "window": Repetitions(10, 30),
+    "terms": Repetitions(10, 30),
+    "put_and_remove": Repetitions(10, 30),
+    "reload": Repetitions(5, 1),
 }
 
 
-def measured(sizes: list[int], way: str, benches: dict[int, Bench]) -> dict[int, list[float]]:
-    """Sizes take turns, so that a machine that is slower for a while is so for all of them."""
+def measure(sizes: list[int], kind: str, dispatchers: dict[int, BenchDispatcher]) -> dict[int, list[float]]:
+    """Alternate between sizes, so that a temporarily slow machine affects all of them."""
     values: dict[int, list[float]] = {size: [] for size in sizes}
     gc.collect()
-    for number in range(WAYS[way].rounds + 1):
+    for number in range(CHANGE_KINDS[kind].rounds + 1):
         for size in sizes:
-            call: Callable[[], float] = getattr(benches[size], way)
-            told = [call() for _ in range(WAYS[way].each)]
-            if number:  # the first round warms caches
-                values[size] += told
+            call: Callable[[], float] = getattr(dispatchers[size], kind)
+            round_values = [call() for _ in range(CHANGE_KINDS[kind].calls_per_round)]
+            if number:  # the first round warms up caches
+                values[size] += round_values
     return values
 
 
 def point(size: int, values: list[float]) -> dict[str, Any]:
-    """Values in microseconds; the spread is between the quartiles."""
-    told = [round(value * 1e6, 1) for value in values]
-    low, _, high = quantiles(told, n=4)
-    return {"size": size, "values": told, "median": median(told), "spread": round(high - low, 1)}
+    """Values in microseconds; the spread is the interquartile range."""
+    microseconds = [round(value * 1e6, 1) for value in values]
+    low, _, high = quantiles(microseconds, n=4)
+    return {
+        "size": size,
+        "values": microseconds,
+        "median": median(microseconds),
+        "spread": round(high - low, 1),
+    }
 
 
 def fit(points: list[dict[str, Any]]) -> dict[str, float]:
-    """A line through the medians, by least squares; the residual is the root of the mean square."""
+    """Least-squares line through the medians; the residual is the root mean square error."""
     if len(points) < 2:
         return {"intercept": points[0]["median"], "slope": 0.0, "residual": 0.0}
     sizes = [float(each["size"]) for each in points]
     medians = [float(each["median"]) for each in points]
-    middle, mean = sum(sizes) / len(sizes), sum(medians) / len(medians)
-    over = sum((size - middle) * (value - mean) for size, value in zip(sizes, medians, strict=True))
-    slope = over / sum((size - middle) ** 2 for size in sizes)
-    intercept = mean - slope * middle
+    mean_size, mean_value = sum(sizes) / len(sizes), sum(medians) / len(medians)
+    covariance = sum(
+        (size - mean_size) * (value - mean_value) for size, value in zip(sizes, medians, strict=True)
+    )
+    slope = covariance / sum((size - mean_size) ** 2 for size in sizes)
+    intercept = mean_value - slope * mean_size
     errors = [(value - intercept - slope * size) ** 2 for size, value in zip(sizes, medians, strict=True)]
     return {"intercept": intercept, "slope": slope, "residual": (sum(errors) / len(errors)) ** 0.5}
 
 
 def commit() -> str:
-    told = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True)
-    return told.stdout.strip()
+    result = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True)
+    return result.stdout.strip()
 
 
 @click.command()
 @click.option("--sizes", default="1000,10000,100000", show_default=True, help="Destinations.")
-@click.option("--ways", default=",".join(WAYS), show_default=True)
+@click.option("--ways", default=",".join(CHANGE_KINDS), show_default=True)
 @click.option("--out", type=click.Path(path_type=Path), help="JSON file.")
 def main(sizes: str, ways: str, out: Path | None) -> None:
     counts, slopes = list(map(int, sizes.split(","))), []
     with tempfile.TemporaryDirectory() as folder:
-        benches = {size: Bench(size, Path(folder, str(size))) for size in counts}
-        for way in ways.split(","):
-            points = [point(size, values) for size, values in measured(counts, way, benches).items()]
+        dispatchers = {size: BenchDispatcher(size, Path(folder, str(size))) for size in counts}
+        for kind in ways.split(","):
+            points = [point(size, values) for size, values in measure(counts, kind, dispatchers).items()]
             for each in points:
-                told = f"{each['median']:12.1f} us (quartiles {each['spread']:.1f} apart)"
-                click.echo(f"{way:16} {each['size']:8} {told}")
+                summary = f"{each['median']:12.1f} us (interquartile range {each['spread']:.1f})"
+                click.echo(f"{kind:16} {each['size']:8} {summary}")
             medians = [each["median"] for each in points]
-            click.echo(f"{way:16} largest over smallest median {max(medians) / min(medians):.2f}")
-            slope = {"name": way, "unit": "us", "varied": "destinations", "points": points}
+            click.echo(f"{kind:16} largest over smallest median {max(medians) / min(medians):.2f}")
+            slope = {"name": kind, "unit": "us", "varied": "destinations", "points": points}
             slopes.append(slope | {"fit": fit(points)})
-        for bench in benches.values():
-            bench.assembly.core.store.close()  # type: ignore[attr-defined]
+        for dispatcher in dispatchers.values():
+            dispatcher.assembly.core.store.close()  # type: ignore[attr-defined]
     machine = {"cores": cpu_count(), "python": platform.python_version()}
     report = {"date": datetime.now(UTC).isoformat(timespec="seconds"), "commit": commit(), "machine": machine}
     if out:
--- a/benchmarks/first_fill.py
+++ b/benchmarks/first_fill.py
@@ -1,9 +1,9 @@
-"""A first fill of a controller: how long it takes, what streams wait meanwhile, what a new one must read.
+"""Initial fill of a controller: its duration, the delay of streams meanwhile, and what new dispatchers read.
 
     python benchmarks/first_fill.py --destinations 370000
 
-A real controller on loopback with an empty folder; one dispatcher follows it, played by hand, and notes the
-longest time without a word from the controller. Bounded by --limit seconds. Prints one JSON object.
+Runs a real controller on loopback with an empty folder. One simulated dispatcher follows it and records the
+longest time without any data from the controller. Bounded by --limit seconds. Prints one JSON object.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from laureldock.setup.plan import Endpoint
 from laureldock.setup.units import Address
 
-FILE = """\
+CONTROLLER_FILE = """\
 [controller]
 listen = "127.0.0.1:{port}"
 [class.news]
@@ -42,34 +42,34 @@
     return len(payload).to_bytes(4, "big") + payload
 
 
-class Listener(threading.Thread):
-    """A dispatcher that only listens and beats."""
+class StreamListener(threading.Thread):
+    """A dispatcher that only receives, and sends heartbeats."""
 
     def __init__(self, port: int) -> None:
         super().__init__(daemon=True)
-        self.link = socket.create_connection(("127.0.0.1", port), 5)
-        self.link.settimeout(0.2)
-        self.link.sendall(framed(Subscribe("listener", NO_POSITION, 0)))
-        self.longest, self.closed = 0.0, False
+        self.connection = socket.create_connection(("127.0.0.1", port), 5)
+        self.connection.settimeout(0.2)
+        self.connection.sendall(framed(Subscribe("listener", NO_POSITION, 0)))
+        self.longest_silence, self.closed = 0.0, False
 
     def run(self) -> None:
-        heard = beaten = time.monotonic()
+        received_at = heartbeat_at = time.monotonic()
         while not self.closed:
             try:
-                self.closed = not self.link.recv(1 << 16)
+                self.closed = not self.connection.recv(1 << 16)
                 now = time.monotonic()
-                self.longest, heard = max(self.longest, now - heard), now
+                self.longest_silence, received_at = max(self.longest_silence, now - received_at), now
             except TimeoutError:
                 now = time.monotonic()
             except OSError:
                 self.closed = True
-            if now > beaten + 1.5:
-                self.link.sendall(framed(Heartbeat(NO_POSITION)))
-                beaten = now
+            if now > heartbeat_at + 1.5:
+                self.connection.sendall(framed(Heartbeat(NO_POSITION)))
+                heartbeat_at = now
 
 
 def endpoints(count: int) -> tuple[EndpointEntry, ...]:
-    """Each of a destination of its own."""
+    """Endpoints, each with a destination of its own."""
     found = []
     for number in range(count):
         name = f"receiver-{number:06}"
@@ -79,17 +79,17 @@
     return tuple(found)
 
 
-def launched(file: Path, log: Path, limit: float) -> tuple[subprocess.Popen[bytes], float]:
-    """The process, and how long it took until it was ready."""
-    began, ready = time.monotonic(), log.read_text().count("controller ready") if log.exists() else 0
+def start_controller(file: Path, log: Path, limit: float) -> tuple[subprocess.Popen[bytes], float]:
+    """Start the controller; returns its process and the seconds until it was ready."""
+    started_at, ready = time.monotonic(), log.read_text().count("controller ready") if log.exists() else 0
     with log.open("ab") as out:
         process = subprocess.Popen([sys.executable, "-m", "laureldock", "controller", str(file)], stdout=out)
     while log.read_text().count("controller ready") == ready:
-        if process.poll() is not None or time.monotonic() > began + limit:
+        if process.poll() is not None or time.monotonic() > started_at + limit:
             process.kill()
             raise SystemExit("the controller did not start in time")
         time.sleep(0.05)
-    return process, time.monotonic() - began
+    return process, time.monotonic() - started_at
 
 
 def resident_bytes(process: subprocess.Popen[bytes]) -> int:
@@ -107,34 +107,34 @@
     raise SystemExit("no snapshot was written in time")
 
 
-def measured(folder: Path, destinations: int, limit: float) -> dict[str, object]:
+def measure(folder: Path, destinations: int, limit: float) -> dict[str, object]:
     port, file, log = free_port(), folder / "controller.toml", folder / "log"
-    file.write_text(FILE.format(port=port))
+    file.write_text(CONTROLLER_FILE.format(port=port))
     change = Change(endpoints(destinations))
-    process, _ = launched(file, log, limit)
+    process, _ = start_controller(file, log, limit)
     try:
-        listener = Listener(port)
+        listener = StreamListener(port)
         listener.start()
-        began = time.monotonic()
-        answer = client.propose(f"127.0.0.1:{port}", change)
-        accepted = time.monotonic()
-        if not isinstance(answer, Accepted):
-            raise SystemExit(f"refused: {answer}")
-        snapshot = snapshot_event(log, accepted, limit)
+        started_at = time.monotonic()
+        reply = client.propose(f"127.0.0.1:{port}", change)
+        accepted_at = time.monotonic()
+        if not isinstance(reply, Accepted):
+            raise SystemExit(f"the controller refused the change: {reply}")
+        snapshot = snapshot_event(log, accepted_at, limit)
         time.sleep(3.0)
-        longest, cut, resident = listener.longest, listener.closed, resident_bytes(process)
+        longest, stream_closed, resident = listener.longest_silence, listener.closed, resident_bytes(process)
         process.send_signal(signal.SIGTERM)
         process.wait(10)
-        process, restart = launched(file, log, limit)
+        process, restart = start_controller(file, log, limit)
         size = int(str(snapshot["bytes"]))
         return {
             "destinations": destinations,
-            "accepted_after_s": round(accepted - began, 1),
+            "accepted_after_s": round(accepted_at - started_at, 1),
             "snapshot_s": snapshot["took"],
             "snapshot_bytes": size,
             "bytes_a_destination": round(size / destinations, 1),
             "longest_silence_s": round(longest, 2),
-            "stream_closed": cut,
+            "stream_closed": stream_closed,
             "resident_bytes": resident,
             "restart_s": round(restart, 1),
             "wait_of_a_new_dispatcher_s": round(size / 4000),
@@ -148,9 +148,9 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--destinations", type=int, default=370_000)
     parser.add_argument("--limit", type=float, default=170.0, help="Seconds for each step.")
-    told = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        print(json.dumps(measured(Path(folder), told.destinations, told.limit)))
+        print(json.dumps(measure(Path(folder), options.destinations, options.limit)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -1,4 +1,4 @@
-"""The view of the fleet among real processes on loopback: idle cost, delivery, settling after faults.
+"""Membership view with real processes on loopback: idle cost, effect on delivery, convergence after faults.
 
 python -m benchmarks.fleet_processes idle [--sizes 5,12,40]
 python -m benchmarks.fleet_processes beside [--pairs 5] [--seconds 4]
@@ -18,7 +18,7 @@
 
 import click
 
-from benchmarks.throughput import BODY, Receivers, command, cpu, memory
+from benchmarks.throughput import BODY, StubReceivers, command, cpu_seconds, peak_memory
 from laureldock.rehearsal.fleet.configuration import FRONT_PORT
 from laureldock.rehearsal.fleet.member_process import MemberProcess
 from laureldock.rehearsal.fleet.processes import ProcessFleet
@@ -27,14 +27,14 @@
 
 @click.group()
 def main() -> None:
-    """Times are ratios within one run, or periods of the view."""
+    """Results are ratios within one run, or times in periods of the view."""
 
 
 def sizes_of(text: str) -> list[int]:
     return [int(each) for each in text.split(",")]
 
 
-def pid(member: MemberProcess) -> int:
+def pid_of(member: MemberProcess) -> int:
     assert member.process
     return member.process.pid
 
@@ -44,7 +44,7 @@
 @click.option("--seconds", default=10.0, show_default=True)
 @click.option("--period", default=1.0, show_default=True)
 def idle(sizes: str, seconds: float, period: float) -> None:
-    """Processor time and memory of a member that has nothing to deliver, with the view and without."""
+    """CPU time and memory of a member that has nothing to deliver, with and without the view."""
 
     async def measure(size: int, view: bool, folder: str) -> tuple[float, float, float]:
         fleet = ProcessFleet(
@@ -54,54 +54,57 @@
             await fleet.begin()
             joined = await fleet.settle(100.0) if view else 0.0
             await asyncio.sleep(3 * period)
-            before = {name: cpu(pid(member)) for name, member in fleet.members.items()}
+            before = {name: cpu_seconds(pid_of(member)) for name, member in fleet.members.items()}
             await asyncio.sleep(seconds)
-            used = [cpu(pid(member)) - before[name] for name, member in fleet.members.items()]
+            used = [cpu_seconds(pid_of(member)) - before[name] for name, member in fleet.members.items()]
             return (
                 statistics.mean(used) / seconds,
-                statistics.mean(map(memory, map(pid, fleet.members.values()))),
+                statistics.mean(map(peak_memory, map(pid_of, fleet.members.values()))),
                 joined,
             )
         finally:
             await fleet.end()
 
-    print("members  with: ms of processor a second, MB, joined in periods  without: ms, MB")
+    print("members  with: CPU ms per second, MB, periods to join  without: ms, MB")
     for size in sizes_of(sizes):
         rows = []
         for view in (True, False):
             with tempfile.TemporaryDirectory() as folder:
                 rows.append(asyncio.run(measure(size, view, folder)))
-        (used, held, joined), (bare, plain, _) = rows
+        (used, held_mb, joined), (bare_used, bare_mb, _) = rows
         print(
-            f"{size:7}  {used * 1000:.2f}  {held:.1f}  {joined:.1f}   {bare * 1000:.2f}  {plain:.1f}",
+            f"{size:7}  {used * 1000:.2f}  {held_mb:.1f}  {joined:.1f}"
+            f"   {bare_used * 1000:.2f}  {bare_mb:.1f}",
             flush=True,
         )
 
 
-def closed_loop(host: str, receivers: Receivers, seconds: float, clients: int) -> tuple[float, list[float]]:
-    """Mails a second, and how long each `+OK` took."""
-    end, took, counts = time.monotonic() + seconds, [], [0] * clients
+def closed_loop(
+    host: str, receivers: StubReceivers, seconds: float, clients: int
+) -> tuple[float, list[float]]:
+    """Messages per second, and the latency of each `+OK` in seconds."""
+    deadline, latencies, counts = time.monotonic() + seconds, [], [0] * clients
     served = receivers.served
 
     def client(number: int) -> None:
-        with socket.create_connection((host, FRONT_PORT)) as link:
-            while (now := time.monotonic()) < end:
+        with socket.create_connection((host, FRONT_PORT)) as connection:
+            while (sent_at := time.monotonic()) < deadline:
                 if sum(counts) - (receivers.served - served) > 4 * clients:
                     time.sleep(0.0005)
                     continue
                 name = b"c%d-%d-%d" % (number, counts[number], time.monotonic_ns())
-                link.sendall(command(b"MSG.PUT", b"0", name, b"c=notice,d=8000,dest=north", BODY))
-                if link.recv(64)[:1] == b"+":
+                connection.sendall(command(b"MSG.PUT", b"0", name, b"c=notice,d=8000,dest=north", BODY))
+                if connection.recv(64)[:1] == b"+":
                     counts[number] += 1
-                    took.append(time.monotonic() - now)
+                    latencies.append(time.monotonic() - sent_at)
 
-    began = time.monotonic()
+    started_at = time.monotonic()
     threads = [threading.Thread(target=client, args=(number,)) for number in range(clients)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    return sum(counts) / (time.monotonic() - began), took
+    return sum(counts) / (time.monotonic() - started_at), latencies
 
 
 @main.command()
@@ -110,11 +113,11 @@
 @click.option("--clients", default=4, show_default=True)
 @click.option("--members", default=5, show_default=True)
 def beside(pairs: int, seconds: float, clients: int, members: int) -> None:
-    """Mails a second and p99 of +OK: a dispatcher with the view beside one without, in turn."""
+    """Messages per second and p99 latency of +OK, alternately with and without the view."""
 
     async def run(folder: str) -> None:
         fleets = {}
-        receivers = Receivers(4)
+        receivers = StubReceivers(4)
         for view in (True, False):
             size = members if view else 1
             fleet = ProcessFleet(
@@ -129,32 +132,34 @@
             fleets[view] = fleet
             for member in fleet.members.values():
                 await fleet.place(member)
-                told = "".join(
+                endpoints = "".join(
                     f'[[endpoint]]\nname = "r{port}"\ndestination = "north"\naddress = "127.0.0.1:{port}"\n'
                     for port in receivers.ports
                 )
                 path = member.folder / "laureldock.toml"
-                path.write_text(path.read_text() + told)
+                path.write_text(path.read_text() + endpoints)
                 await member.launch()
             for member in fleet.members.values():
                 await member.wait_ready()
         try:
             await fleets[True].settle(100.0)
-            rates: list[float] = []
-            tails: list[float] = []
+            rate_ratios: list[float] = []
+            p99_ratios: list[float] = []
             for pair in range(pairs + 1):
                 found = {}
                 for view in (True, False) if pair % 2 else (False, True):
                     host = fleets[view].members["d1"].host
-                    rate, took = await asyncio.to_thread(closed_loop, host, receivers, seconds, clients)
-                    found[view] = rate, statistics.quantiles(took, n=100)[98]
-                if pair:  # the first warms
-                    rates.append(found[True][0] / found[False][0])
-                    tails.append(found[True][1] / found[False][1])
-                    print(f"with {found[True][0]:.0f} mails/s, without {found[False][0]:.0f}", flush=True)
-            for name, ratios in (("mails a second", rates), ("p99 of +OK", tails)):
-                middle, least, most = statistics.median(ratios), min(ratios), max(ratios)
-                print(f"{name}, with the view over without: {middle:.3f} ({least:.3f} to {most:.3f})")
+                    rate, latencies = await asyncio.to_thread(closed_loop, host, receivers, seconds, clients)
+                    found[view] = rate, statistics.quantiles(latencies, n=100)[98]
+                if pair:  # the first pair is warm-up
+                    rate_ratios.append(found[True][0] / found[False][0])
+                    p99_ratios.append(found[True][1] / found[False][1])
+                    print(f"with {found[True][0]:.0f} messages/s, without {found[False][0]:.0f}", flush=True)
+            for name, ratios in (("messages per second", rate_ratios), ("p99 of +OK", p99_ratios)):
+                middle, lowest, highest = statistics.median(ratios), min(ratios), max(ratios)
+                print(
+                    f"{name}, ratio of with to without the view: {middle:.3f} ({lowest:.3f} to {highest:.3f})"
+                )
         finally:
             for fleet in fleets.values():
                 await fleet.end()
@@ -169,17 +174,19 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--period", default=0.2, show_default=True)
 def scripts(sizes: str, names: str, seed: int, period: float) -> None:
-    """Each script at each size: periods until all views were equal after the last fault."""
+    """Run each script at each size; prints the periods from the last fault until all views were equal."""
     for size in sizes_of(sizes):
         for name in names.split(","):
             script = load(name)
             script.members = max(size, script.members)
             with tempfile.TemporaryDirectory() as folder:
                 verdict = asyncio.run(ProcessFleet(script, seed, Path(folder), period=period).play())
-            word = "held" if verdict.held else f"BROKEN {verdict.broken}"
-            mails = next((cases for rule, cases, _ in verdict.rules), 0)
-            cost = f"{len(verdict.events):5} events, {verdict.bytes_each:5.0f} bytes, {mails} mails"
-            print(f"{script.members:4} {name:10} {verdict.settled:5.1f} periods, {cost}: {word}", flush=True)
+            outcome = "held" if verdict.held else f"BROKEN {verdict.broken}"
+            messages = next((cases for rule, cases, _ in verdict.rules), 0)
+            cost = f"{len(verdict.events):5} events, {verdict.bytes_each:5.0f} bytes, {messages} messages"
+            print(
+                f"{script.members:4} {name:10} {verdict.settled:5.1f} periods, {cost}: {outcome}", flush=True
+            )
 
 
 @main.command()
@@ -188,7 +195,7 @@
 @click.option("--share", default=0.2, show_default=True)
 @click.option("--period", default=0.2, show_default=True)
 def loss(minutes: float, members: int, share: float, period: float) -> None:
-    """A share of all datagrams is lost for so long: is any living member held to have failed?"""
+    """Drop a fraction of all datagrams for some time; counts live members that are marked as failed."""
     length = minutes * 60 / period
     step = Step(at=1, do="spoil", who=["all"], to=["all"], loss=share, lasts=length)
     script = Script(name="loss", members=members, spared=True, step=[step])
--- a/benchmarks/slopes/__init__.py
+++ b/benchmarks/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes: what one destination, owed mail, member or change more costs. Results are kept here as JSON."""
+"""Slopes: the cost of one more destination, pending message, member or change. Results are saved as JSON."""
--- a/benchmarks/slopes/controlled.py
+++ b/benchmarks/slopes/controlled.py
@@ -1,4 +1,4 @@
-"""What changes by a controller cost: bytes of a change, a stream, a snapshot; a controller, a follower."""
+"""Cost of configuration from a controller: bytes of a change, stream, snapshot; controller and follower."""
 
 from __future__ import annotations
 
@@ -9,8 +9,15 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from benchmarks.slopes.model import Experiment, Measured, Values
-from benchmarks.slopes.process import MOST_START, Process, address_of, free_port, processor_time, resident
+from benchmarks.slopes.model import Experiment, SlopeDefinition, Values
+from benchmarks.slopes.process import (
+    START_TIMEOUT,
+    DispatcherProcess,
+    address_of,
+    free_port,
+    process_cpu_seconds,
+    resident_bytes,
+)
 from laureldock.controller.client import UnreachableError, status
 from laureldock.replication import messages
 from laureldock.replication.change_log import ChangeLog
@@ -32,14 +39,14 @@
 DESTINATIONS = [1_000, 8_000, 32_000, 128_000]
 SECONDS = [2, 20, 200, 2_000]
 LENGTH_BYTES = 4  # before each frame
-FAR_POSITION, ANY_DIGEST = Position(1 << 55, 1 << 20), 1 << 60  # numbers as long as they become
+FAR_POSITION, ANY_DIGEST = Position(1 << 55, 1 << 20), 1 << 60  # encoded at their maximum length
 CONFIGURATION_FOLDER = "configuration"
-FOLLOWING = """\
+SOURCE = """\
 [source]
 kind = "controller"
 controllers = ["127.0.0.1:{port}"]
 """
-FILE = """\
+CONTROLLER_FILE = """\
 name = "control"
 [controller]
 listen = "127.0.0.1:{port}"
@@ -53,7 +60,7 @@
 
 
 def endpoints(count: int) -> Iterator[EndpointEntry]:
-    """Each with a destination of its own."""
+    """Endpoints, each with a destination of its own."""
     for number in range(count):
         address = Address(address_of(number))
         name = f"e{number}"
@@ -65,21 +72,21 @@
 
 
 def change(size: int) -> Values:
-    """Bytes of a change of so many endpoints, to a dispatcher and back from it."""
+    """Bytes of a change of `size` endpoints, to a dispatcher and back."""
     body = encode_change(Change(tuple(endpoints(size))))
-    told = ChangeMessage(FAR_POSITION, ANY_DIGEST, time.time(), messages.checksum(body), body)
-    size_both = frame_bytes(told) + frame_bytes(InForce(FAR_POSITION, ANY_DIGEST))
+    change_message = ChangeMessage(FAR_POSITION, ANY_DIGEST, time.time(), messages.checksum(body), body)
+    size_both = frame_bytes(change_message) + frame_bytes(InForce(FAR_POSITION, ANY_DIGEST))
     return {"change by controller: bytes": [float(size_both)]}
 
 
-def still(size: int) -> Values:
-    """Bytes of heartbeats, both ways, in so many seconds without a change."""
+def idle_stream(size: int) -> Values:
+    """Bytes of heartbeats in both directions, in `size` seconds without a change."""
     each = frame_bytes(Heartbeat(FAR_POSITION))
     return {"stream by controller: bytes": [2 * each * size / HEARTBEAT_INTERVAL]}
 
 
 def snapshot(size: int) -> Values:
-    """Bytes of all entries, as a fresh dispatcher is sent them."""
+    """Bytes of a snapshot of all entries, as sent to a new dispatcher."""
     parts = (
         SnapshotPart(number, messages.checksum(body), body)
         for number, body in enumerate(snapshot_parts(endpoints(size)))
@@ -88,7 +95,7 @@
 
 
 def fill(folder: Path, count: int, durable: bool) -> None:
-    """A folder of a controller, or of a dispatcher that follows one, as if it had so many endpoints."""
+    """Fill the folder of a controller, or of a dispatcher that follows one, with `count` endpoints."""
     entries = list(endpoints(count))
     digest = 0
     for entry in entries:
@@ -101,8 +108,8 @@
 
 
 def wait_until_ready(child: subprocess.Popen[bytes], address: str) -> None:
-    end = time.monotonic() + MOST_START
-    while time.monotonic() < end and child.poll() is None:
+    deadline = time.monotonic() + START_TIMEOUT
+    while time.monotonic() < deadline and child.poll() is None:
         try:
             status(address)
             return
@@ -112,18 +119,18 @@
 
 
 def controller(size: int) -> Values:
-    """Memory and processor time of a controller's start with so many endpoints on its disk."""
+    """Memory and CPU time of the start of a controller with `size` endpoints on its disk."""
     with tempfile.TemporaryDirectory() as name:
         folder, port = Path(name), free_port()
         file = folder / "controller.toml"
-        file.write_text(FILE.format(port=port))
+        file.write_text(CONTROLLER_FILE.format(port=port))
         fill(folder / "controller-state", size, durable=True)
         disk = sum(each.stat().st_size for each in (folder / "controller-state").iterdir())
         command = [sys.executable, "-m", "laureldock", "controller", str(file)]
         child = subprocess.Popen(command, stdout=subprocess.DEVNULL)
         try:
             wait_until_ready(child, f"127.0.0.1:{port}")
-            memory, start = resident(child.pid), processor_time(child.pid)
+            memory, start = resident_bytes(child.pid), process_cpu_seconds(child.pid)
         finally:
             child.kill()
             child.wait(30)
@@ -132,18 +139,18 @@
 
 
 def follower(size: int) -> Values:
-    """A dispatcher that starts with what it kept of so many endpoints, and reaches no controller."""
+    """Start of a dispatcher with `size` stored endpoints that cannot reach a controller."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         (folder / "state").mkdir()
         fill(folder / "state" / CONFIGURATION_FOLDER, size, durable=False)
-        process = Process(folder)
-        process.write([FOLLOWING.format(port=free_port())])
+        process = DispatcherProcess(folder)
+        process.write([SOURCE.format(port=free_port())])
         try:
             process.start()
             if process.counter("configuration_version") != 1:
-                raise RuntimeError("it has another configuration")
-            found = {"memory": process.start_memory, "start": process.start_processor}
+                raise RuntimeError("the dispatcher has another configuration")
+            found = {"memory": process.start_memory, "start": process.start_cpu_seconds}
         finally:
             process.kill()
     return {f"follower: {what}": [value] for what, value in found.items()}
@@ -152,21 +159,21 @@
 EXPERIMENTS = [
     Experiment(
         "controlled_stream",
-        [Measured("stream by controller: bytes", "B", "seconds")],
+        [SlopeDefinition("stream by controller: bytes", "B", "seconds")],
         SECONDS,
         [1] * 4,
-        still,
+        idle_stream,
     ),
     Experiment(
         "controlled_change",
-        [Measured("change by controller: bytes", "B", "entries of a change")],
+        [SlopeDefinition("change by controller: bytes", "B", "entries of a change")],
         ENTRIES_OF_A_CHANGE,
         [1] * 5,
         change,
     ),
     Experiment(
         "controlled_snapshot",
-        [Measured("snapshot by controller: bytes", "B", "destinations")],
+        [SlopeDefinition("snapshot by controller: bytes", "B", "destinations")],
         DESTINATIONS,
         [1] * 4,
         snapshot,
@@ -174,9 +181,9 @@
     Experiment(
         "controller",
         [
-            Measured("controller: memory", "B", "destinations"),
-            Measured("controller: start", "s of processor", "destinations"),
-            Measured("controller: disk", "B", "destinations"),
+            SlopeDefinition("controller: memory", "B", "destinations"),
+            SlopeDefinition("controller: start", "s of processor", "destinations"),
+            SlopeDefinition("controller: disk", "B", "destinations"),
         ],
         DESTINATIONS,
         [3, 2, 2, 1],
@@ -185,8 +192,8 @@
     Experiment(
         "follower",
         [
-            Measured("follower: memory", "B", "destinations"),
-            Measured("follower: start", "s of processor", "destinations"),
+            SlopeDefinition("follower: memory", "B", "destinations"),
+            SlopeDefinition("follower: start", "s of processor", "destinations"),
         ],
         DESTINATIONS,
         [3, 2, 2, 1],
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -1,4 +1,4 @@
-"""What members of the fleet's view cost each other: hundreds in the model, dozens as processes."""
+"""Cost of the membership view by fleet size: hundreds of simulated members, dozens of processes."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from itertools import count
 from pathlib import Path
 
-from benchmarks.slopes.model import Experiment, Measured, Values
-from benchmarks.slopes.process import Process, endpoint, free_port, resident
+from benchmarks.slopes.model import Experiment, SlopeDefinition, Values
+from benchmarks.slopes.process import DispatcherProcess, endpoint, free_port, resident_bytes
 from laureldock.fleet.simulation import Simulation
 
 MODEL_SIZES = [50, 100, 200, 400]
 START_SIZES = [100, 200, 400, 800]
 PROCESS_SIZES = [4, 8, 16, 32]
 ZONES = 15
-CHANGE_FOR = 10.0  # periods that are counted after a change
-REST_FOR = 20.0  # periods between two changes, so that one does not count as another's
+MEASURED_PERIODS = 10.0  # periods that are measured after a change
+SETTLE_PERIODS = 20.0  # periods between two changes, so that the cost of one is not counted for the next
 SHARES = {"1%": 0.01, "10%": 0.1, "100%": 1.0}
-seeds = count(1)  # another one for each run, so that the spread of the model shows
-PROCESS_JOIN, PROCESS_FOR = 8.0, 10.0  # seconds
+seeds = count(1)  # a new one for each run, to show the spread of the simulation
+JOIN_SECONDS, MEASURED_SECONDS = 8.0, 10.0
 
 FLEET = """\
 [fleet]
@@ -33,15 +33,17 @@
 """
 
 
-def counted(world: Simulation, members: int, change: Callable[[], None]) -> tuple[float, float, float]:
-    """Bytes, messages and processor seconds a member and period in the periods after a change."""
-    messages, size, used = world.datagrams_sent, world.bytes_sent, time.process_time()
+def measure_change(
+    simulation: Simulation, members: int, change: Callable[[], None]
+) -> tuple[float, float, float]:
+    """Bytes, messages and CPU seconds per member and period, in the periods after a change."""
+    messages, size, used = simulation.datagrams_sent, simulation.bytes_sent, time.process_time()
     change()
-    world.run(world.now + CHANGE_FOR)
-    each = members * CHANGE_FOR
+    simulation.run(simulation.now + MEASURED_PERIODS)
+    each = members * MEASURED_PERIODS
     return (
-        (world.bytes_sent - size) / each,
-        (world.datagrams_sent - messages) / each,
+        (simulation.bytes_sent - size) / each,
+        (simulation.datagrams_sent - messages) / each,
         (time.process_time() - used) / each,
     )
 
@@ -50,92 +52,94 @@
     return [f"{prefix}{number}" for number in range(count)]
 
 
-def modelled(size: int, seed: int) -> Values:
-    """A common start, stillness, then each share of the members that fails, returns or is new."""
+def simulate(size: int, seed: int) -> Values:
+    """Simulate a common start and a quiet time, then failure, return and join of fractions of the members."""
     found: Values = {}
 
-    def note(name: str, told: tuple[float, float, float]) -> None:
-        found.update({f"view {name}: {unit}": [value] for unit, value in zip(UNITS, told, strict=True)})
+    def record(name: str, costs: tuple[float, float, float]) -> None:
+        found.update({f"view {name}: {unit}": [value] for unit, value in zip(UNITS, costs, strict=True)})
 
     members = names("d", size)
-    fresh = {share: names(f"new{share}-", max(1, round(part * size))) for share, part in SHARES.items()}
-    everyone = [*members, *(name for share in ("1%", "10%") for name in fresh[share])]
-    world = Simulation({name: f"zone{place % ZONES}" for place, name in enumerate(everyone)}, seed)
+    new_members = {
+        share: names(f"new{share}-", max(1, round(fraction * size))) for share, fraction in SHARES.items()
+    }
+    all_names = [*members, *(name for share in ("1%", "10%") for name in new_members[share])]
+    simulation = Simulation({name: f"zone{index % ZONES}" for index, name in enumerate(all_names)}, seed)
 
     def start(names: list[str]) -> None:
         for name in names:
-            world.start(name)
+            simulation.start(name)
 
     def kill(names: list[str]) -> None:
         for name in names:
-            world.kill(name)
+            simulation.kill(name)
 
-    before = resident()
-    note("100% join", counted(world, size, lambda: start(members)))
-    world.run(world.now + REST_FOR)
-    found["view: memory"] = [(resident() - before) / size]
-    note("still", counted(world, size, lambda: None))
+    before = resident_bytes()
+    record("100% join", measure_change(simulation, size, lambda: start(members)))
+    simulation.run(simulation.now + SETTLE_PERIODS)
+    found["view: memory"] = [(resident_bytes() - before) / size]
+    record("still", measure_change(simulation, size, lambda: None))
     for share in ("1%", "10%"):
-        gone = members[1 : 1 + len(fresh[share])]  # the first is the seed
+        affected = members[1 : 1 + len(new_members[share])]  # the first one is the seed
         for name, change in (
-            ("fail", lambda gone=gone: kill(gone)),
-            ("return", lambda gone=gone: start(gone)),
-            ("join", lambda share=share: start(fresh[share])),
+            ("fail", lambda affected=affected: kill(affected)),
+            ("return", lambda affected=affected: start(affected)),
+            ("join", lambda share=share: start(new_members[share])),
         ):
-            note(f"{share} {name}", counted(world, size, change))
-            world.run(world.now + REST_FOR)
+            record(f"{share} {name}", measure_change(simulation, size, change))
+            simulation.run(simulation.now + SETTLE_PERIODS)
     kill(members)
-    note("100% return", counted(world, size, lambda: start(members)))
+    record("100% return", measure_change(simulation, size, lambda: start(members)))
     return found
 
 
-def common_start(size: int) -> Values:
-    """All start at once, with one seed: the first ten periods, and the ten after them."""
+def common_start_costs(size: int) -> Values:
+    """Start all members at once, with one seed; measures the first ten periods and the ten after them."""
     members = names("d", size)
-    world = Simulation({name: f"zone{place % ZONES}" for place, name in enumerate(members)}, next(seeds))
+    simulation = Simulation({name: f"zone{index % ZONES}" for index, name in enumerate(members)}, next(seeds))
 
     def start() -> None:
         for name in members:
-            world.start(name)
+            simulation.start(name)
 
     found: Values = {}
     for ten, change in (("first", start), ("second", lambda: None)):
-        told = counted(world, size, change)
-        found |= {f"common start, {ten} ten: {unit}": [each] for unit, each in zip(UNITS, told, strict=True)}
+        costs = measure_change(simulation, size, change)
+        found |= {f"common start, {ten} ten: {unit}": [each] for unit, each in zip(UNITS, costs, strict=True)}
     return found
 
 
-def apart(size: int) -> Values:
-    """In a process of its own, since memory that was freed is not given back."""
+def simulate_in_subprocess(size: int) -> Values:
+    """Run `simulate` in a separate process, because freed memory is not returned to the system."""
     spawn = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(1, mp_context=spawn) as pool:
-        return pool.submit(modelled, size, next(seeds)).result()
+        return pool.submit(simulate, size, next(seeds)).result()
 
 
-def processes(size: int) -> Values:
-    """Processor time and memory of a member that has nothing to deliver."""
+def process_costs(size: int) -> Values:
+    """CPU time and memory of a member that has nothing to deliver."""
     with tempfile.TemporaryDirectory() as name:
         ports, fleet = [free_port() for _ in range(size)], []
-        for place, port in enumerate(ports):
-            folder = Path(name) / str(place)
+        for index, port in enumerate(ports):
+            folder = Path(name) / str(index)
             folder.mkdir()
-            process = Process(folder, name=f"d{place}")
-            told = FLEET.format(port=port, seed=ports[0], zone=place % ZONES)
-            process.write([told, endpoint("e0", "d0", "127.0.0.1:9")])
+            process = DispatcherProcess(folder, name=f"d{index}")
+            fleet_section = FLEET.format(port=port, seed=ports[0], zone=index % ZONES)
+            process.write([fleet_section, endpoint("e0", "d0", "127.0.0.1:9")])
             fleet.append(process)
         try:
             for process in fleet:
                 process.start()
-            time.sleep(PROCESS_JOIN)
-            before, began = [each.processor() for each in fleet], time.monotonic()
-            time.sleep(PROCESS_FOR)
-            passed = time.monotonic() - began
-            used = [(each.processor() - old) / passed for each, old in zip(fleet, before, strict=True)]
+            time.sleep(JOIN_SECONDS)
+            before, started_at = [each.cpu_seconds() for each in fleet], time.monotonic()
+            time.sleep(MEASURED_SECONDS)
+            elapsed = time.monotonic() - started_at
+            used = [(each.cpu_seconds() - old) / elapsed for each, old in zip(fleet, before, strict=True)]
             memory = [each.memory() for each in fleet]
         finally:
             for process in fleet:
                 process.kill()
-    start = [each.start_processor for each in fleet]
+    start = [each.start_cpu_seconds for each in fleet]
     found = {"idle": used, "memory": memory, "start": start}
     return {f"member: {name}": [sum(each) / size] for name, each in found.items()}
 
@@ -155,37 +159,37 @@
     Experiment(
         "view",
         [
-            Measured("view: memory", "B a member", "members"),
+            SlopeDefinition("view: memory", "B a member", "members"),
             *(
-                Measured(f"view {change}: {name}", unit, "members")
+                SlopeDefinition(f"view {change}: {name}", unit, "members")
                 for change in CHANGES
                 for name, unit in UNITS.items()
             ),
         ],
         MODEL_SIZES,
         [2, 2, 2, 1],
-        apart,
+        simulate_in_subprocess,
     ),
     Experiment(
         "common_start",
         [
-            Measured(f"common start, {ten} ten: {name}", unit, "members")
+            SlopeDefinition(f"common start, {ten} ten: {name}", unit, "members")
             for ten in ("first", "second")
             for name, unit in UNITS.items()
         ],
         START_SIZES,
         [3, 3, 1, 1],
-        common_start,
+        common_start_costs,
     ),
     Experiment(
         "members",
         [
-            Measured("member: idle", "s of processor a second", "members"),
-            Measured("member: memory", "B", "members"),
-            Measured("member: start", "s of processor", "members"),
+            SlopeDefinition("member: idle", "s of processor a second", "members"),
+            SlopeDefinition("member: memory", "B", "members"),
+            SlopeDefinition("member: start", "s of processor", "members"),
         ],
         PROCESS_SIZES,
         [2, 2, 2, 1],
-        processes,
+        process_costs,
     ),
 ]
--- a/benchmarks/slopes/model.py
+++ b/benchmarks/slopes/model.py
@@ -1,4 +1,4 @@
-"""What a measured slope is, and how it is kept as JSON."""
+"""Data model of measured slopes, and how they are saved as JSON."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 FOLDER = Path(__file__).parent
 ROOT = FOLDER.parent.parent
-# Written by `benchmarks/change_cost.py`, in the same form; its slopes are named after the way of changing.
+# Written by `benchmarks/change_cost.py`, in the same format; its slopes are named after the way of change.
 CHANGE_COST = "change_cost"
 
-Values = dict[str, list[float]]  # by the name of a slope
+Values = dict[str, list[float]]  # by name of the slope
 
 
 class Point(msgspec.Struct):
-    """All values of one size. `spread` is the largest less the smallest."""
+    """All values of one size. `spread` is the largest minus the smallest."""
 
     size: float
     values: list[float]
@@ -33,8 +33,9 @@
 class Fit(msgspec.Struct):
     """A straight line through the medians.
 
-    `residual` is the largest distance of a median from the line, as a share of the largest median: a bend
-    shows in it. `interval` holds the least and the greatest slope when any one size is left out.
+    `residual` is the largest distance of a median from the line, as a fraction of the largest median; it is
+    large if the medians are not on a line. `interval` has the lowest and highest slope with any one size left
+    out.
     """
 
     intercept: float
@@ -52,7 +53,7 @@
 
 
 class Machine(msgspec.Struct):
-    """`load` is how many processes wanted a core at the end, on average of the last minutes."""
+    """`load` is the five-minute load average at the end of the run."""
 
     cores: int
     python: str
@@ -60,7 +61,7 @@
 
 
 class Readings(msgspec.Struct):
-    """One run of an experiment: a JSON file. `commit` is the last one that changed the program."""
+    """One run of an experiment, saved as a JSON file. `commit` is the last one that changed the program."""
 
     date: str
     commit: str
@@ -69,8 +70,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
-    """A slope that an experiment measures: its name, the unit of its values, and what is varied."""
+class SlopeDefinition:
+    """Definition of a slope that an experiment measures: name, unit of its values, and what is varied."""
 
     name: str
     unit: str
@@ -79,13 +80,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """`measure` takes a size and gives one or more values for each slope of `slopes`.
+    """`measure` takes a size and returns one or more values for each slope of `slopes`.
 
-    `runs` says how often each size is measured anew, in the order of `sizes`.
+    `runs` has the number of runs for each size, in the order of `sizes`.
     """
 
     name: str
-    slopes: Sequence[Measured]
+    slopes: Sequence[SlopeDefinition]
     sizes: Sequence[int]
     runs: Sequence[int]
     measure: Callable[[int], Values]
@@ -104,30 +105,30 @@
     largest = max(map(abs, medians)) or 1.0
     interval = None
     if len(points) > 2:
-        rest = [
+        partial_slopes = [
             statistics.linear_regression(
                 sizes[:left_out] + sizes[left_out + 1 :], medians[:left_out] + medians[left_out + 1 :]
             ).slope
             for left_out in range(len(points))
         ]
-        interval = min(rest), max(rest)
+        interval = min(partial_slopes), max(partial_slopes)
     return Fit(intercept, slope, max(distances) / largest, interval)
 
 
 def program_commit() -> str:
-    """The last commit that changed the program, and `-dirty` where files of it differ from it."""
-    told = ["git", "-C", str(ROOT)]
+    """The last commit that changed the program, with `-dirty` appended if its files have changed since."""
+    git = ["git", "-C", str(ROOT)]
     paths = ["--", "laureldock"]
     last = subprocess.run(
-        [*told, "log", "-1", "--format=%h", *paths], capture_output=True, text=True, check=True
+        [*git, "log", "-1", "--format=%h", *paths], capture_output=True, text=True, check=True
     )
     changed = subprocess.run(
-        [*told, "status", "--porcelain", *paths], capture_output=True, text=True, check=True
+        [*git, "status", "--porcelain", *paths], capture_output=True, text=True, check=True
     )
     return last.stdout.strip() + ("-dirty" if changed.stdout.strip() else "")
 
 
-def readings(slopes: list[Slope]) -> Readings:
+def new_readings(slopes: list[Slope]) -> Readings:
     machine = Machine(os.cpu_count() or 1, platform.python_version(), round(os.getloadavg()[1], 1))
     return Readings(datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ"), program_commit(), machine, slopes)
 
@@ -137,14 +138,14 @@
 
 
 def load(path: Path) -> Readings:
-    """OSError, msgspec.ValidationError."""
+    """Raises OSError or msgspec.ValidationError."""
     return msgspec.json.decode(path.read_bytes(), type=Readings)
 
 
-def kept() -> dict[str, tuple[Readings, Slope]]:
-    """Every slope that is kept, by name, with the run that it came from.
+def load_slopes() -> dict[str, tuple[Readings, Slope]]:
+    """All saved slopes by name, with the run that each comes from.
 
-    Medians, spreads and lines are those of its values by this module's rules, whichever benchmark wrote it.
+    Medians, spreads and lines are recomputed from the values here, whichever benchmark wrote the file.
     """
     found: dict[str, tuple[Readings, Slope]] = {}
     for path in sorted(FOLDER.glob("*.json")):
--- a/benchmarks/slopes/owed.py
+++ b/benchmarks/slopes/owed.py
@@ -1,4 +1,4 @@
-"""What mails that are owed cost a dispatcher at its start: a fresh one, and one after SIGKILL."""
+"""Cost of pending messages at the start of a dispatcher: with a fresh spool, and after SIGKILL."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import time
 from pathlib import Path
 
-from benchmarks.slopes.model import Experiment, Measured, Values
-from benchmarks.slopes.process import Process, endpoint
+from benchmarks.slopes.model import Experiment, SlopeDefinition, Values
+from benchmarks.slopes.process import DispatcherProcess, endpoint
 from laureldock.core.messages import StoredMessage
 from laureldock.stores.spool import Spool
 
@@ -19,8 +19,8 @@
 BODY = b"x" * 200
 
 
-def hand_over(folder: Path, count: int) -> int:
-    """Write a spool that owes so many mails; its bytes."""
+def write_spool(folder: Path, count: int) -> int:
+    """Write a spool with `count` pending messages; returns its size in bytes."""
     folder.mkdir()
     store, end = Spool(folder, DISK_MB << 20), time.monotonic() + LIFETIME
     store.open()
@@ -31,28 +31,28 @@
     return store.size
 
 
-def owed(size: int) -> Values:
-    """Receivers accept and never answer, so that nothing of what is owed is over meanwhile."""
+def pending_costs(size: int) -> Values:
+    """The receiver accepts connections and never responds, so that no pending message finishes meanwhile."""
     with tempfile.TemporaryDirectory() as name, socket.create_server(("127.0.0.1", 0), backlog=64) as silent:
         folder, address = Path(name), f"127.0.0.1:{silent.getsockname()[1]}"
-        disk = hand_over(folder / "state", size)
-        process = Process(folder, slots=8, room=size + 1000, disk_mb=DISK_MB, lifetime=LIFETIME)
+        disk = write_spool(folder / "state", size)
+        process = DispatcherProcess(folder, slots=8, room=size + 1000, disk_mb=DISK_MB, lifetime=LIFETIME)
         process.write(endpoint(f"e{each}", f"d{each}", address) for each in range(DESTINATIONS))
         try:
             process.start()
             found = {
                 "memory": [process.start_memory],
-                "start": [process.start_processor],
+                "start": [process.start_cpu_seconds],
                 "disk": [float(disk)],
             }
             process.kill()
             process.start()
             found |= {
                 "memory after a kill": [process.start_memory],
-                "start after a kill": [process.start_processor],
+                "start after a kill": [process.start_cpu_seconds],
             }
             if process.counter("held") != size:
-                raise RuntimeError(f"{process.counter('held')} mails are held, not {size}")
+                raise RuntimeError(f"{process.counter('held')} messages are held, not {size}")
         finally:
             process.kill()
     return {f"owed mail: {name}": values for name, values in found.items()}
@@ -68,9 +68,9 @@
 EXPERIMENTS = [
     Experiment(
         "owed",
-        [Measured(f"owed mail: {name}", unit, "owed mails") for name, unit in UNITS.items()],
+        [SlopeDefinition(f"owed mail: {name}", unit, "owed mails") for name, unit in UNITS.items()],
         SIZES,
         [3, 3, 3, 2],
-        owed,
+        pending_costs,
     )
 ]
--- a/benchmarks/slopes/process.py
+++ b/benchmarks/slopes/process.py
@@ -1,4 +1,4 @@
-"""A dispatcher as a process on loopback, whose processor time and memory are read from the kernel."""
+"""A dispatcher as a process on loopback, with its CPU time and memory as the kernel reports them."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 from laureldock.cli.info import figures
 
-MOST_START = 300.0  # seconds that a start may take
-MOST_WAIT = 300.0  # seconds that a change or a load may take
-MOST_ASKS = 20  # of five seconds each at most
-SETTLED = 0.25  # seconds without processor time after which nothing more is being done
+START_TIMEOUT = 300.0  # seconds
+WAIT_TIMEOUT = 300.0  # seconds that a change or a load may take
+MAX_REQUESTS = 20  # with a timeout of five seconds each
+IDLE_INTERVAL = 0.25  # seconds; a process that uses no CPU time for so long is idle
 
 FIRST_PORT, LAST_PORT = 12_000, 32_000
 _ports = iter(range(FIRST_PORT + os.getpid() % 97 * 200, LAST_PORT))
@@ -44,36 +44,36 @@
 
 
 def free_port() -> int:
-    """Below those that the kernel gives to connections, and each only once in this process."""
+    """A port below the kernel's ephemeral range; each is returned only once in this process."""
     for port in _ports:
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
             return port
     raise RuntimeError("no port is free")
 
 
-def processor_time(pid: int) -> float:
-    """Seconds of processor time of all threads of a process, by the kernel's clock of it."""
+def process_cpu_seconds(pid: int) -> float:
+    """CPU seconds of all threads of a process, from the kernel's clock for that process."""
     return time.clock_gettime((~pid << 3) | 2)
 
 
-def resident(pid: int | None = None) -> float:
-    """Bytes of memory that a process, or this one, holds now."""
+def resident_bytes(pid: int | None = None) -> float:
+    """Resident bytes of a process; of this one if `pid` is None."""
     lines = Path(f"/proc/{pid or 'self'}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS")) * 1024.0
 
 
 def endpoint(name: str, destination: str, address: str, rate: float = 20.0) -> str:
-    owner = f'[[endpoint]]\nname = "{name}"\ndestination = "{destination}"\n'
-    return f'{owner}address = "{address}"\nrate = {rate}\n'
+    head = f'[[endpoint]]\nname = "{name}"\ndestination = "{destination}"\n'
+    return f'{head}address = "{address}"\nrate = {rate}\n'
 
 
 def address_of(number: int) -> str:
-    """On loopback, another one for each number; nothing listens there."""
+    """A loopback address that is unique for each number; nothing listens there."""
     return f"127.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:9"
 
 
-class Process:
-    """Start it with `start`, end it with `end` or `kill`; it may be started again in the same folder."""
+class DispatcherProcess:
+    """A dispatcher process. It may be started again after `stop` or `kill`, in the same folder."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
             classes=classes,
         )
         self.child: subprocess.Popen[bytes] | None = None
-        self.start_processor = self.start_memory = 0.0
+        self.start_cpu_seconds = self.start_memory = 0.0
 
     @property
     def pid(self) -> int:
@@ -107,72 +107,75 @@
         return self.child.pid
 
     def write(self, parts: Iterable[str]) -> None:
-        fresh = self.file.with_suffix(".new")
-        fresh.write_text(self.head + "".join(parts))
-        fresh.rename(self.file)
+        new_file = self.file.with_suffix(".new")
+        new_file.write_text(self.head + "".join(parts))
+        new_file.rename(self.file)
 
     def start(self) -> None:
-        """Until it answers a client; what that took is in `start_processor` and `start_memory`."""
+        """Start and wait until it replies to a client; sets `start_cpu_seconds` and `start_memory`.
+
+        Raises RuntimeError if it does not start in time.
+        """
         command = [sys.executable, "-m", "laureldock", "serve", str(self.file)]
         self.child = subprocess.Popen(command, stdout=subprocess.DEVNULL)
-        end = time.monotonic() + MOST_START
-        while not self.answers():
-            if self.child.poll() is not None or time.monotonic() > end:
+        deadline = time.monotonic() + START_TIMEOUT
+        while not self.responds():
+            if self.child.poll() is not None or time.monotonic() > deadline:
                 raise RuntimeError("the dispatcher did not start")
             time.sleep(0.005)
-        self.start_processor, self.start_memory = self.processor(), self.memory()
+        self.start_cpu_seconds, self.start_memory = self.cpu_seconds(), self.memory()
 
-    def answers(self) -> bool:
+    def responds(self) -> bool:
         try:
-            with socket.create_connection(("127.0.0.1", self.port), 60) as link:
-                link.sendall(b"PING\r\n")
-                return link.recv(16) == b"+PONG\r\n"
+            with socket.create_connection(("127.0.0.1", self.port), 60) as connection:
+                connection.sendall(b"PING\r\n")
+                return connection.recv(16) == b"+PONG\r\n"
         except OSError:
             return False
 
-    def processor(self) -> float:
-        """Seconds of processor time."""
-        return processor_time(self.pid)
+    def cpu_seconds(self) -> float:
+        """CPU seconds used so far."""
+        return process_cpu_seconds(self.pid)
 
     def memory(self) -> float:
-        """Bytes resident now."""
-        return resident(self.pid)
+        """Current resident bytes."""
+        return resident_bytes(self.pid)
 
     def counter(self, name: str) -> int:
-        """Of those that INFO tells; asked again while a long step keeps it from answering."""
-        for _ in range(MOST_ASKS):
+        """A counter from INFO; retries while a long step keeps the dispatcher from replying."""
+        for _ in range(MAX_REQUESTS):
             with contextlib.suppress(OSError, ValueError):
                 return int(figures(f"127.0.0.1:{self.port}").get(name, 0))
-        raise RuntimeError("the dispatcher does not answer")
-
-    def settle(self) -> float:
-        """Wait until it does nothing any more; its processor time then."""
-        end, used = time.monotonic() + MOST_WAIT, self.processor()
-        while time.monotonic() < end:
-            time.sleep(SETTLED)
-            before, used = used, self.processor()
-            if used - before < 0.02 * SETTLED:
+        raise RuntimeError("the dispatcher does not reply")
+
+    def wait_until_idle(self) -> float:
+        """Wait until the process is idle; returns its CPU seconds."""
+        deadline, used = time.monotonic() + WAIT_TIMEOUT, self.cpu_seconds()
+        while time.monotonic() < deadline:
+            time.sleep(IDLE_INTERVAL)
+            before, used = used, self.cpu_seconds()
+            if used - before < 0.02 * IDLE_INTERVAL:
                 return used
-        raise RuntimeError("the dispatcher does not come to rest")
+        raise RuntimeError("the dispatcher does not become idle")
 
     def reload(self, parts: Iterable[str]) -> float:
-        """Processor seconds that a fresh file costs, from the signal until it is at rest again."""
+        """CPU seconds that a new configuration file costs, from the signal until the process is idle."""
         self.write(parts)
-        before, read = self.settle(), self.counter("configurations_read")
+        before, read = self.wait_until_idle(), self.counter("configurations_read")
         os.kill(self.pid, signal.SIGHUP)
-        end = time.monotonic() + MOST_WAIT
+        deadline = time.monotonic() + WAIT_TIMEOUT
         while self.counter("configurations_read") == read:
-            if self.counter("configurations_refused") or time.monotonic() > end:
+            if self.counter("configurations_refused") or time.monotonic() > deadline:
                 raise RuntimeError("the configuration was not read")
             time.sleep(0.2)
-        return self.settle() - before
+        return self.wait_until_idle() - before
 
     def kill(self) -> None:
         if self.child:
             self.child.kill()
             self.child.wait(30)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         if self.child and self.child.poll() is None:
             self.child.terminate()
             try:
--- a/benchmarks/slopes/receivers.py
+++ b/benchmarks/slopes/receivers.py
@@ -1,4 +1,4 @@
-"""Receivers that answer every call at once; no more of HTTP than a measurement needs."""
+"""Stub receivers that respond to every call at once, with no more HTTP than a measurement needs."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 import socket
 import threading
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 BACKLOG = 512
 
 
-class Receivers:
-    """So many listeners on loopback, served by one thread until `close`."""
+class StubReceivers:
+    """`count` listeners on loopback, served by one thread until `close`."""
 
     def __init__(self, count: int, body: bytes) -> None:
-        """`body` is what every call ends with."""
+        """`body` is the end of every request."""
         self.body, self.selector, self.closing = body, selectors.DefaultSelector(), False
         self.addresses: list[str] = []
         for _ in range(count):
@@ -40,22 +40,22 @@
         self.selector.close()
 
     def accept(self, listener: socket.socket) -> None:
-        with contextlib.suppress(OSError):  # gone again
-            link, _ = listener.accept()
-            link.setblocking(False)
-            self.selector.register(link, selectors.EVENT_READ, bytearray())
+        with contextlib.suppress(OSError):  # the connection was closed again
+            connection, _ = listener.accept()
+            connection.setblocking(False)
+            self.selector.register(connection, selectors.EVENT_READ, bytearray())
 
-    def read(self, link: socket.socket, received: bytearray) -> None:
+    def read(self, connection: socket.socket, received: bytearray) -> None:
         data = b""
         with contextlib.suppress(OSError):  # reset by the dispatcher
-            data = link.recv(65536)
+            data = connection.recv(65536)
             received.extend(data)
             if received.endswith(self.body):
                 received.clear()
-                link.sendall(ANSWER)
+                connection.sendall(RESPONSE)
         if not data:
-            self.selector.unregister(link)
-            link.close()
+            self.selector.unregister(connection)
+            connection.close()
 
     def close(self) -> None:
         self.closing = True
--- a/benchmarks/slopes/thin_load.py
+++ b/benchmarks/slopes/thin_load.py
@@ -1,16 +1,17 @@
-"""What the decisions do where mails for one destination are far apart, on a clock set by hand."""
+"""Behaviour of the delivery policy when messages for one destination are rare, on a simulated clock."""
 
 from __future__ import annotations
 
-from benchmarks.slopes.model import Experiment, Measured, Values
+from benchmarks.slopes.model import Experiment, SlopeDefinition, Values
 from laureldock import interface as face
 from laureldock.control import Control
 
-INTERVALS = [1, 10, 100, 1_560]  # seconds between two mails for the destination; the last is the full size's
-MAILS = 60
+# Seconds between two messages for the destination; the last value is that of the full size.
+INTERVALS = [1, 10, 100, 1_560]
+MESSAGES = 60
 INSTANCES, LISTED, RATE = 1_500, 2_000, 20.0
 LIFETIME, STEP = 10.0, 0.05  # seconds
-REFUSED_AFTER = 0.001  # seconds from a connect to its refusal
+REFUSED_AFTER = 0.001  # seconds from an attempt to its refusal
 
 TARIFF = face.Tariff(
     seed=7, instances=INSTANCES, slots=64, room=2000, most_attempts=8, may_cancel=True, may_probe=False,
@@ -21,8 +22,8 @@
 NEWS = face.QueueClass(face.Rerun.REDELIVERABLE, 1.0, 1.0, LIFETIME, 0.5, False)
 
 
-class Alone:
-    """The decisions of one of many dispatchers, with one destination whose receiver refuses all."""
+class SingleDispatcher:
+    """Policy of one of many dispatchers, with a destination whose receiver refuses all connections."""
 
     def __init__(self) -> None:
         self.now, self.trials = 1000.0, 0
@@ -49,27 +50,27 @@
             outcome = face.Outcome(face.Ending.NO_CONNECTION, REFUSED_AFTER)
             self.control.ended(self.now + REFUSED_AFTER, attempt, outcome)
 
-    def mail(self, interval: float) -> None:
-        """One mail, and the time until the next one."""
+    def hand_in(self, interval: float) -> None:
+        """Hand in one message, then advance the clock until the next one is due."""
         mail = face.Mail(NEWS, self.destination, LIFETIME)
         self.control.taken(self.now, mail)
-        end = self.now + interval
-        while self.now < end and self.control.held:
+        deadline = self.now + interval
+        while self.now < deadline and self.control.held:
             self.turn()
             self.control.timer(self.now, "sweep")
             self.now += STEP
-        self.now = max(self.now, end)
+        self.now = max(self.now, deadline)
 
 
 def trials(size: int) -> Values:
-    alone = Alone()
-    alone.mail(size)
-    first = alone.trials
-    for _ in range(MAILS):
-        alone.mail(size)
+    dispatcher = SingleDispatcher()
+    dispatcher.hand_in(size)
+    first = dispatcher.trials
+    for _ in range(MESSAGES):
+        dispatcher.hand_in(size)
     return {
         "thin load: trials of the first mail": [float(first)],
-        "thin load: trials of a later mail": [(alone.trials - first) / MAILS],
+        "thin load: trials of a later mail": [(dispatcher.trials - first) / MESSAGES],
     }
 
 
@@ -77,8 +78,8 @@
     Experiment(
         "thin_load",
         [
-            Measured("thin load: trials of the first mail", "connects", "seconds between mails"),
-            Measured("thin load: trials of a later mail", "connects", "seconds between mails"),
+            SlopeDefinition("thin load: trials of the first mail", "connects", "seconds between mails"),
+            SlopeDefinition("thin load: trials of a later mail", "connects", "seconds between mails"),
         ],
         INTERVALS,
         [1, 1, 1, 1],
