--- a/benchmarks/capacity/thin_load.py
+++ b/benchmarks/capacity/thin_load.py
@@ -7,7 +7,7 @@
 from benchmarks.capacity.rows import Basis, Row, Slopes, assumed
 from benchmarks.slopes import thin_load as measured
 
-DECISIONS = "laureldock/control.py"
+DECISIONS = "laureldock/delivery_policy.py"
 
 
 def rows(slopes: Slopes, size: FullSize) -> list[Row]:
@@ -99,7 +99,7 @@
         Row(
             "longest rest of a dispatcher after an outage",
             "s",
-            assumed(1.25 * own, "the law of `Control.apart`, for a destination of 20 calls a second"),
+            assumed(1.25 * own, "the law of `DeliveryPolicy.apart`, for a destination of 20 calls a second"),
             None,
             DECISIONS,
             "a mail that comes within it waits although the destination may be back",
--- a/benchmarks/change_cost.py
+++ b/benchmarks/change_cost.py
@@ -116,7 +116,7 @@
         plan = catalog.plan()
         began = time.process_time()
         fresh = Prepared.of(plan)
-        self.assembly.core.book.retell(plan, fresh.terms)
+        self.assembly.core.book.update_terms(plan, fresh.terms)
         self.assembly.listed.reread(fresh.listing)
         self.turn()
         return time.process_time() - began
--- a/benchmarks/ramp.py
+++ b/benchmarks/ramp.py
@@ -88,7 +88,7 @@
 
 def fresh(size: int, seed: int, number: int) -> Dock:
     changes = {"start_capacity": START, "tip_multiple": MULTIPLE, "fall_time": SPAN, "warm_time": WARM}
-    dock = Dock(instances=size, seed=seed * 1000 + number, connect_time=1.5, most_attempts=9, **changes)
+    dock = Dock(instances=size, seed=seed * 1000 + number, connect_timeout=1.5, max_attempts=9, **changes)
     dock.listed("north/1", rate=RATE)
     dock.listed(*(f"other/{place}" for place in range(20)))
     return dock
--- a/laureldock/assembly.py
+++ b/laureldock/assembly.py
@@ -14,6 +14,7 @@
 from laureldock.carriers.http import Receivers
 from laureldock.core.dispatcher import Dispatcher
 from laureldock.core.seams import Front, Outlet, Source
+from laureldock.delivery_settings import DeliveryRegistry
 from laureldock.fronts.resp_server import Clients
 from laureldock.outlets.lines import Lines
 from laureldock.outlets.platform import Notices
@@ -28,7 +29,6 @@
 from laureldock.sources.listed import Listed, Listing, listing, listing_of
 from laureldock.sources.platform import Directory
 from laureldock.stores.spool import Spool
-from laureldock.tariff import Book
 from laureldock.transient_errors import wait_for
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
         self.room = Room.of(plan.limits.sockets)
         self.catalog = catalog_of(plan)
         known, terms = (plan, None) if self.catalog is None else (self.catalog.live, self.catalog.term_book)
-        book = Book(known, sockets=True, terms=terms)
+        book = DeliveryRegistry(known, sockets=True, terms=terms)
         self.core = core = Dispatcher(plan.name, book, store, reactor, ended_for)
         self.clients = [
             Clients(core, reactor, self.room, front.listen, self.most_clients(), front.pipeline)
@@ -229,8 +229,8 @@
         plan.state, plan.management, plan.passed = self.plan.state, self.plan.management, self.plan.passed
         changed = changes(self.plan, plan)
         self.plan = plan
-        core.book.reclass(plan)
-        core.tell(core.control.retell, core.book.tariff)
+        core.book.update_classes(plan)
+        core.tell(core.control.update_settings, core.book.settings)
         self.move_to(plan.source.address, plan.outlet.address)
         core.counters["configurations read"] += 1
         core.log.info("configuration read", changed=changed, classes=sorted(core.book.classes))
@@ -255,7 +255,7 @@
                 self.unread(faults)
                 return faults
         else:
-            self.core.book.retell(plan, fresh.terms)
+            self.core.book.update_terms(plan, fresh.terms)
         self.plan = plan
         if self.fleet and plan.fleet:
             self.fleet.set_seeds(plan.fleet)
@@ -280,7 +280,7 @@
         except RefusedChangeError as refusal:
             return [f"{dotted(fault.path)}: {fault.reason}" for fault in refusal.faults]
         self.catalog = fresh
-        self.core.book.retell(fresh.live, fresh.term_book)
+        self.core.book.update_terms(fresh.live, fresh.term_book)
         return []
 
     # A controller's changes
@@ -312,7 +312,7 @@
         if not applied:
             return
         catalog, core = self.catalog, self.core
-        core.book.change(applied, catalog)
+        core.book.apply_change(applied, catalog)
         names = {put.name: None for put in applied.endpoints_put}
         for destination in applied.rekinded:
             names |= dict.fromkeys(catalog.endpoint_names.get(destination, ()))
--- a/laureldock/carriers/http.py
+++ b/laureldock/carriers/http.py
@@ -15,7 +15,7 @@
 from laureldock.core.ends import OUTCOMES, STATUSES, End
 from laureldock.core.messages import HeldMessage
 from laureldock.core.seams import Outcomes, Timer
-from laureldock.interface import Attempt, Ending, Listed, Outcome, Probe, Route
+from laureldock.interface import Attempt, AttemptResult, ListedState, Outcome, Probe, Route
 from laureldock.sockets.flush import unread
 from laureldock.sockets.httpline import HttpLine, open_line
 from laureldock.sockets.room import Room
@@ -52,7 +52,7 @@
         return since, line
 
     def free(self, line: HttpLine) -> None:
-        if self.route.listed is Listed.UP:
+        if self.route.listed_state is ListedState.UP:
             self.idle.append((self.now(), line))
             self.resting[line] = self
         else:
@@ -77,7 +77,7 @@
 
     def listed(self, route: Route, dial: str) -> None:
         pool = self.pools.setdefault(route, Pool(route, dial, self.core.now, self.resting))
-        if route.listed is not Listed.UP or pool.dial != dial:
+        if route.listed_state is not ListedState.UP or pool.dial != dial:
             pool.hang_up()
         pool.dial = dial
 
@@ -87,7 +87,7 @@
                 pool.hang_up()
 
     def attempt(self, attempt: Attempt, message: HeldMessage) -> None:
-        time_out = message.call_time(attempt.time_out, self.core.now())
+        time_out = message.call_time(attempt.timeout, self.core.now())
         head = [b"POST /hook HTTP/1.1", b"X-Call-Id: " + message.name]
         head += [b"Idempotency-Key: " + message.tag] if message.tag else []
         head += [
@@ -103,7 +103,9 @@
             self.core.ended(attempt, message, end, outcome)
 
         pool = self.pools[attempt.route]
-        errand = Errand(self, pool, head, message.body, time_out, may_begin, ended, attempt.rest)
+        errand = Errand(
+            self, pool, head, message.body, time_out, may_begin, ended, attempt.max_connection_idle_time
+        )
         errand.message, errand.sending = message, partial(self.core.sending, attempt, message)
         self.errands[attempt] = errand
         errand.start()
@@ -119,10 +121,10 @@
             self.core.probed(route, outcome)
 
         def may_begin() -> bool:
-            return route.listed is Listed.UP
+            return route.listed_state is ListedState.UP
 
         if route in self.pools:
-            Errand(self, self.pools[route], head, b"", probe.time_out, may_begin, ended).start()
+            Errand(self, self.pools[route], head, b"", probe.timeout, may_begin, ended).start()
 
     def hang_up(self, route: Route) -> None:
         if route in self.pools:
@@ -132,7 +134,7 @@
         """A kept connection, surely not closed yet, with nothing on it to be taken for the next answer."""
         # In the time for which one may take to come up, a call gets there too.
         tariff = self.core.tariff
-        pool.hang_up(tariff.idle_time - tariff.connect_time)
+        pool.hang_up(tariff.idle_time - tariff.connect_timeout)
         while pool.idle:
             since, line = pool.take_newest()
             rested = self.core.now() - since
@@ -190,7 +192,7 @@
         self.receivers.spare()
         self.receivers.room.receivers += 1
         core.counters["connections opened"] += 1
-        patience = core.tariff.connect_time
+        patience = core.tariff.connect_timeout
         self.opening = open_line(self.receivers.reactor, self.pool.dial, MOST_BODY, patience)
         self.opening.addCallbacks(self.opened, self.failed)
 
@@ -241,7 +243,7 @@
         if status == 200 and not self.over and self.line:
             self.finish(End.DELIVERED, headers)
             core = self.receivers.core
-            self.timer = core.later(core.tariff.connect_time, self.line.drop)
+            self.timer = core.later(core.tariff.connect_timeout, self.line.drop)
 
     def answered(self, status: int, headers: Headers, body: bytes) -> None:
         end = STATUSES.get(status, End.STRANGE)
@@ -268,7 +270,7 @@
         headers = headers or {}
         ending, finished = OUTCOMES[end]
         told = report(headers.get(b"x-load-report", b""))
-        wait = number(headers.get(b"x-ratelimit-wait-ms", b"")) if ending is Ending.FULL else None
+        wait = number(headers.get(b"x-ratelimit-wait-ms", b"")) if ending is AttemptResult.REFUSED else None
         wait, took = (wait or 0.0) / 1000, self.receivers.core.now() - self.began
         limit, left = told.get("x1"), told.get("x0", 1.0)
         begun = end is not End.HELD_BACK
--- a/laureldock/core/dispatcher.py
+++ b/laureldock/core/dispatcher.py
@@ -9,8 +9,7 @@
 
 import structlog
 
-from laureldock import interface as face
-from laureldock.control import Control
+from laureldock import interface
 from laureldock.core.class_counters import ClassCounters
 from laureldock.core.ends import OUTCOMES, End
 from laureldock.core.invariants import Invariants
@@ -39,7 +38,8 @@
     Timer,
 )
 from laureldock.core.submissions import Submissions
-from laureldock.tariff import Book, Entry
+from laureldock.delivery_policy import DeliveryPolicy
+from laureldock.delivery_settings import DeliveryRegistry, ListedEndpoint
 
 # At a planned stop, by the platform's protocol: clients come for up to 0.4 s, and the kill after 3.7 s.
 ACCEPT_TIME, STOP_TIME = 0.6, 3.3
@@ -49,7 +49,7 @@
 # A mail's lifetime ends sooner by its client's clock than by ours: by the way here, and what timers round.
 ROUNDING = 0.01
 
-NOT_RUN = face.Ending.FULL, face.Ending.NO_CONNECTION, face.Ending.MOOT
+NOT_RUN = interface.AttemptResult.REFUSED, interface.AttemptResult.NO_CONNECTION, interface.AttemptResult.MOOT
 
 
 class Dispatcher:
@@ -62,7 +62,7 @@
     def __init__(
         self,
         name: str,
-        book: Book,
+        book: DeliveryRegistry,
         store: Store,
         clock: Clock,
         ended_for: Callable[[str], None],
@@ -73,7 +73,7 @@
         self.counters: Counter[str] = Counter()
         self.class_counters = ClassCounters()
         self.store.open()
-        self.held: dict[face.Mail, HeldMessage] = {}
+        self.held: dict[interface.Message, HeldMessage] = {}
         self.by_name: dict[bytes, HeldMessage] = {}
         self.fronts: list[Front] = []
         self.running, self.stopped_at = True, 0.0
@@ -86,7 +86,7 @@
         # Figures of the configuration in force, where it comes from a controller.
         self.configuration_figures: Callable[[], dict[str, float]] = dict
         self.turn_due = False
-        self.control = Control(self.book.tariff, self.now())
+        self.control = DeliveryPolicy(self.book.settings, self.now())
         self.recovery = Recovery(self)
         self.records = RecordKeeping(self)
         self.peers = PeerProcesses(self)
@@ -98,8 +98,8 @@
         self.fronts, self.carrier, self.source, self.outlet = fronts, carrier, source, outlet
 
     @property
-    def tariff(self) -> face.Tariff:
-        return self.book.tariff
+    def tariff(self) -> interface.DeliverySettings:
+        return self.book.settings
 
     @property
     def logs_steps(self) -> bool:
@@ -155,7 +155,7 @@
         self.log.info("stopping", out=self.carrier.out, held=len(self.held))
         self.stopped_at = self.now()
         self.ready = False
-        self.tell(self.control.closing, STOP_TIME, self.handed_down)
+        self.tell(self.control.begin_shutdown, STOP_TIME, self.handed_down)
         if self.handed_down:
             self.carrier.close()  # connections at rest: receivers hold only so many of one dispatcher
         # Where the platform listens, what comes is kept for the next process: no need to stay at the door.
@@ -183,7 +183,7 @@
         # What is over and not recorded would be sent once more in the next life.
         if self.outlet.waiting or self.store.behind or any(front.busy for front in self.fronts):
             return True
-        sends = not self.handed_down or self.now() < self.control.close_at
+        sends = not self.handed_down or self.now() < self.control.sends_end_at
         return bool(self.held) if sends else self.carrier.out > 0
 
     def takes_clients(self) -> bool:
@@ -226,38 +226,38 @@
             self.log.exception("fault", call=call.__qualname__)
         return None
 
-    def carry_out(self, effect: face.Effect) -> None:
+    def carry_out(self, effect: interface.Effect) -> None:
         match effect:
-            case face.Attempt(mail=mail):
+            case interface.Attempt(message=mail):
                 self.counters["connects"] += 1
                 message = self.held[mail]
                 message.attempts += 1
                 if self.logs_steps:
                     self.step("connect", message, route=effect.route.name)
                 self.carrier.attempt(effect, message)
-            case face.Cancel(attempt=attempt):
+            case interface.Cancel(attempt=attempt):
                 self.carrier.cancel(attempt)
-            case face.Defer(mail=mail, reason=reason, retry_after=retry_after):
+            case interface.Defer(message=mail, reason=reason, retry_after=retry_after):
                 self.answer(self.held[mail], True, reason, retry_after)
-            case face.Bounce(mail=mail, reason=reason):
+            case interface.Bounce(message=mail, reason=reason):
                 self.answer(self.held[mail], False, reason, 0.0)
-            case face.Probe():
+            case interface.Probe():
                 self.counters["probes"] += 1
                 self.carrier.probe(effect)
-            case face.HangUp(route=route):
+            case interface.CloseIdleConnections(route=route):
                 self.carrier.hang_up(route)
-            case face.AskList():
+            case interface.FetchList():
                 if self.running:
                     self.source.ask(effect)
-            case face.Timer(after=after, name=name):
-                self.later(after, self.tell, self.control.timer, name)
-            case face.RouteFailed(route=route):
+            case interface.StartTimer(delay=after, name=name):
+                self.later(after, self.tell, self.control.timer_expired, name)
+            case interface.RouteFailed(route=route):
                 self.records.write(self.store.route, route.name, RouteRecord(None, self.now()))
-            case face.RouteReturned(route=route, back_at=back_at):
+            case interface.RouteRecovered(route=route, recovered_at=back_at):
                 self.records.write(self.store.route, route.name, RouteRecord(back_at, self.now()))
-            case face.Log(text=text):
+            case interface.LogLine(text=text):
                 self.log.info(text)
-            case face.Note():
+            case interface.PeerNote():
                 self.log.warning("notes to peers are not sent here")
 
     # Fronts
@@ -295,16 +295,16 @@
         self.counters["malformed requests"] += 1
         self.log.warning("malformed request", why=why, so_far=self.counters["malformed requests"])
 
-    def hold(self, message: HeldMessage) -> None:
-        self.held[message.mail] = self.by_name[message.name] = message
-        self.invariants.held(message)
+    def hold(self, held: HeldMessage) -> None:
+        self.held[held.message] = self.by_name[held.name] = held
+        self.invariants.held(held)
 
-    def forget(self, message: HeldMessage) -> None:
-        if self.holds(message):
-            self.records.write(self.store.over, message.name)
-            del self.by_name[message.name]
-        self.held.pop(message.mail, None)
-        self.invariants.forgotten(message)
+    def forget(self, held: HeldMessage) -> None:
+        if self.holds(held):
+            self.records.write(self.store.over, held.name)
+            del self.by_name[held.name]
+        self.held.pop(held.message, None)
+        self.invariants.forgotten(held)
 
     # Ends
 
@@ -313,77 +313,83 @@
             self.step("mail over", message, word=word)
 
     def answer(
-        self, message: HeldMessage, handed_back: bool, reason: face.Reason, retry_after: float
+        self, held: HeldMessage, handed_back: bool, reason: interface.UndeliveredReason, retry_after: float
     ) -> None:
         word = "deferred" if handed_back else "bounced"
-        self.over(message, f"{word}: {reason.value}")
+        self.over(held, f"{word}: {reason.value}")
         self.counters[word] += 1
         self.counters[f"{word}: {reason.value}"] += 1
-        self.count_of(message, word)
-        unanswered = message.submitter is not None or self.reattachment.waits(message)
+        self.count_of(held, word)
+        unanswered = held.submitter is not None or self.reattachment.waits(held)
         if not unanswered:
-            self.end_by_notice(message.name, handed_back, retry_after)
-        elif self.records.write(self.store.refuse, message.name):
-            message.refusal = Reply(ReplyKind.BUSY if handed_back else ReplyKind.FAILED, retry_after)
-            self.reattachment.ended(message, message.refusal)
-            self.forget(message)
-            self.tell(self.control.noticed, message.mail)
+            self.end_by_notice(held.name, handed_back, retry_after)
+        elif self.records.write(self.store.refuse, held.name):
+            held.refusal = Reply(ReplyKind.BUSY if handed_back else ReplyKind.FAILED, retry_after)
+            self.reattachment.ended(held, held.refusal)
+            self.forget(held)
+            self.tell(self.control.notice_acknowledged, held.message)
         else:  # the store owes it still, and the next life would send it: accepted, and ended by a notice
-            self.records.delay_notice(message.name, encode_notice(message.name, handed_back, retry_after))
+            self.records.delay_notice(held.name, encode_notice(held.name, handed_back, retry_after))
 
     def end_by_notice(self, name: bytes, handed_back: bool, retry_after: float = 0.0) -> None:
         self.records.end_by_notice(name, encode_notice(name, handed_back, retry_after))
 
     def noticed(self, name: bytes) -> None:
-        message = self.by_name.get(name)
-        if message:
-            self.forget(message)
-            self.tell(self.control.noticed, message.mail)
+        held = self.by_name.get(name)
+        if held:
+            self.forget(held)
+            self.tell(self.control.notice_acknowledged, held.message)
         else:  # ended in an earlier life
             self.records.write(self.store.over, name)
 
     # Carriers
 
-    def may_begin(self, attempt: face.Attempt, message: HeldMessage) -> bool:
+    def may_begin(self, attempt: interface.Attempt, held: HeldMessage) -> bool:
         """Asked when the connection is up: what was told meanwhile may forbid it; and the spool must know."""
-        if not self.holds(message):
-            self.tell(self.control.withdrawn, message.mail)
+        if not self.holds(held):
+            self.tell(self.control.message_withdrawn, held.message)
             return False
         if not self.allowed(attempt):
             return False
-        if not self.records.write(self.store.out, message.name, self.now(), attempt.route.name):
+        if not self.records.write(self.store.out, held.name, self.now(), attempt.route.name):
             return False
         # Another process may have taken the last slot since it was looked for: each sees the other's record.
         if self.peers.view.processes and not self.allowed(attempt):
-            self.records.write(self.store.back, message.name)
+            self.records.write(self.store.back, held.name)
             return False
-        message.recorded_attempt = attempt
+        held.recorded_attempt = attempt
         return True
 
-    def allowed(self, attempt: face.Attempt) -> bool:
+    def allowed(self, attempt: interface.Attempt) -> bool:
         """Whether the decisions allow it, by what all processes of this dispatcher have recorded."""
-        return self.peers.read() and self.control.may_begin(self.now(), attempt)
+        return self.peers.read() and self.control.may_start(self.now(), attempt)
 
-    def sending(self, attempt: face.Attempt, message: HeldMessage) -> None:
+    def sending(self, attempt: interface.Attempt, message: HeldMessage) -> None:
         self.invariants.sending(attempt, message)
 
     def sent(self, message: HeldMessage) -> None:
         self.count_of(message, "sent")
 
-    def ended(self, attempt: face.Attempt, message: HeldMessage, end: End, outcome: face.Outcome) -> None:
+    def ended(
+        self, attempt: interface.Attempt, message: HeldMessage, end: End, outcome: interface.Outcome
+    ) -> None:
         if end is End.DELIVERED and self.now() > message.end - ROUNDING:
             end = End.TOO_LATE
             ending, finished = OUTCOMES[end]
-            outcome = replace(outcome, ending=ending, finished=finished)
+            outcome = replace(outcome, result=ending, finished=finished)
         self.counters[f"ended: {end.value}"] += 1
-        if outcome.wait:
-            self.invariants.told_to_wait(attempt.route, outcome.wait)
-        self.invariants.ended(attempt, message, outcome.ending)
-        if outcome.ending in face.MAY_RUN_ON:
-            self.record_rest(message, self.tariff.key_rest)
+        if outcome.requested_wait:
+            self.invariants.told_to_wait(attempt.route, outcome.requested_wait)
+        self.invariants.ended(attempt, message, outcome.result)
+        if outcome.result in interface.RESULTS_THAT_MAY_STILL_RUN:
+            self.record_rest(message, self.tariff.key_cooldown_time)
         if self.logs_steps:
             self.step(
-                "connect ended", message, route=attempt.route.name, end=end.value, took=round(outcome.took, 4)
+                "connect ended",
+                message,
+                route=attempt.route.name,
+                end=end.value,
+                took=round(outcome.duration, 4),
             )
         if outcome.finished:
             if self.holds(message):  # a second copy may have been served first
@@ -395,43 +401,47 @@
             self.forget(message)
         elif self.holds(message) and message.recorded_attempt is attempt:
             self.record_end(message, outcome)
-        if outcome.wait and self.handed_down:  # binds both processes: to the rules they are one dispatcher
+        if (
+            outcome.requested_wait and self.handed_down
+        ):  # binds both processes: to the rules they are one dispatcher
             now = self.now()
-            self.records.write(self.store.wait, attempt.route.name, now + outcome.wait, now)
-        self.tell(self.control.ended, attempt, outcome)
+            self.records.write(self.store.wait, attempt.route.name, now + outcome.requested_wait, now)
+        self.tell(self.control.attempt_ended, attempt, outcome)
 
-    def record_end(self, message: HeldMessage, outcome: face.Outcome) -> None:
+    def record_end(self, message: HeldMessage, outcome: interface.Outcome) -> None:
         """Of an attempt that did not deliver it: whether it may have run."""
-        if outcome.ending in NOT_RUN:
+        if outcome.result in NOT_RUN:
             self.records.write(self.store.back, message.name)
         elif self.handed_down:  # other processes count the calls that are out
             self.records.write(self.store.end, message.name)
 
-    def record_rest(self, message: HeldMessage, seconds: float) -> None:
+    def record_rest(self, held: HeldMessage, seconds: float) -> None:
         """What comes next of its key waits for so long, in the next life and in other processes, too."""
-        mail, now = message.mail, self.now()
+        mail, now = held.message, self.now()
         if mail.queue_class.in_order and mail.key is not None:
             self.records.write(self.store.rest, mail.key, now + seconds, now)
 
-    def probed(self, route: face.Route, outcome: face.Outcome) -> None:
-        self.tell(self.control.probed, route, outcome)
+    def probed(self, route: interface.Route, outcome: interface.Outcome) -> None:
+        self.tell(self.control.probe_ended, route, outcome)
 
     # The list
 
-    def news(self, hosts: list[tuple[Entry, str]], whole: bool) -> None:
+    def news(self, hosts: list[tuple[ListedEndpoint, str]], whole: bool) -> None:
         known = self.book.routes
         named = known.keys() if whole else (entry.name for entry, _ in hosts)
         before = {name: known[name] for name in named if name in known}
-        up = [route for route in before.values() if route.listed is face.Listed.UP]
-        routes = self.book.listed([entry for entry, _ in hosts], whole)
+        up = [route for route in before.values() if route.listed_state is interface.ListedState.UP]
+        routes = self.book.update_list([entry for entry, _ in hosts], whole)
         for route, (_, dial) in zip(routes, hosts, strict=True):
             self.carrier.listed(route, dial)
-        drained = [route.name for route in up if route.listed is not face.Listed.UP]
+        drained = [route.name for route in up if route.listed_state is not interface.ListedState.UP]
         if drained:
             self.log.info("drained or gone", routes=drained)
         touched = dict.fromkeys([*before.values(), *routes])
-        self.carrier.forget([route for route in touched if route.listed is face.Listed.REMOVED])
-        self.tell(self.control.news, routes, whole)
+        self.carrier.forget(
+            [route for route in touched if route.listed_state is interface.ListedState.REMOVED]
+        )
+        self.tell(self.control.list_updated, routes, whole)
         self.invariants.listed([*touched])
         self.recover()
 
@@ -443,8 +453,8 @@
 
     # Counters
 
-    def count_of(self, message: HeldMessage, word: str) -> None:
-        self.count(self.book.name_of(message.mail.queue_class), word)
+    def count_of(self, held: HeldMessage, word: str) -> None:
+        self.count(self.book.class_name(held.message.queue_class), word)
 
     def count(self, queue_class: str, word: str) -> None:
         self.class_counters.count(queue_class, word, self.book.classes)
@@ -452,12 +462,12 @@
     def operators_figures(self) -> dict[str, Any]:
         """What `/_vars` shows: counts since the start of the process, and what is held now."""
         routes = self.book.routes.values()
-        draining = sum(route.listed is not face.Listed.UP for route in routes)
+        draining = sum(route.listed_state is not interface.ListedState.UP for route in routes)
         return {
             "requests": self.class_counters.shown(),
             "in_flight": len(self.held),
             "endpoints_known": len(routes),
-            "endpoints_excluded": draining + self.control.excluded(self.now()),
+            "endpoints_excluded": draining + self.control.excluded_routes(self.now()),
             "reloads_ok": self.counters["configurations read"],
             "reloads_failed": self.counters["configurations refused"],
             "ready": self.takes_clients(),
--- a/laureldock/core/ends.py
+++ b/laureldock/core/ends.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from laureldock.interface import Ending
+from laureldock.interface import AttemptResult
 
 
 class End(Enum):
@@ -26,22 +26,25 @@
 
 
 # What each means to the decisions, and whether the mail is over by it.
-OUTCOMES: dict[End, tuple[Ending, bool]] = {
-    End.DELIVERED: (Ending.SERVED, True),
-    End.TOO_LATE: (Ending.SERVED, False),  # it ran, and its client no longer counts it: an end is still owed
-    End.FAULT: (Ending.ERROR, False),
-    End.TOLD_TO_WAIT: (Ending.FULL, False),
-    End.TURNED_AWAY: (Ending.FULL, False),
-    End.NO_SLOT: (Ending.MOOT, False),
-    End.SPENT: (Ending.MOOT, False),
-    End.OVER: (Ending.MOOT, True),
-    End.STRANGE: (Ending.ERROR, False),
-    End.GARBLED: (Ending.ERROR, False),
-    End.UNREACHED: (Ending.NO_CONNECTION, False),
-    End.BROKEN: (Ending.RESET, False),
-    End.SILENT: (Ending.TIME_OUT, False),
-    End.CALLED_OFF: (Ending.CANCELLED, False),
-    End.HELD_BACK: (Ending.MOOT, False),
+OUTCOMES: dict[End, tuple[AttemptResult, bool]] = {
+    End.DELIVERED: (AttemptResult.SERVED, True),
+    End.TOO_LATE: (
+        AttemptResult.SERVED,
+        False,
+    ),  # it ran, and its client no longer counts it: an end is still owed
+    End.FAULT: (AttemptResult.ERROR, False),
+    End.TOLD_TO_WAIT: (AttemptResult.REFUSED, False),
+    End.TURNED_AWAY: (AttemptResult.REFUSED, False),
+    End.NO_SLOT: (AttemptResult.MOOT, False),
+    End.SPENT: (AttemptResult.MOOT, False),
+    End.OVER: (AttemptResult.MOOT, True),
+    End.STRANGE: (AttemptResult.ERROR, False),
+    End.GARBLED: (AttemptResult.ERROR, False),
+    End.UNREACHED: (AttemptResult.NO_CONNECTION, False),
+    End.BROKEN: (AttemptResult.RESET, False),
+    End.SILENT: (AttemptResult.TIMEOUT, False),
+    End.CALLED_OFF: (AttemptResult.CANCELLED, False),
+    End.HELD_BACK: (AttemptResult.MOOT, False),
 }
 STATUSES = {
     200: End.DELIVERED,
--- a/laureldock/core/invariants.py
+++ b/laureldock/core/invariants.py
@@ -11,7 +11,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from laureldock import interface as face
+from laureldock import interface
 from laureldock.core.messages import HeldMessage
 
 if TYPE_CHECKING:
@@ -45,11 +45,11 @@
     def __init__(self, dispatcher: Dispatcher) -> None:
         self._dispatcher = dispatcher
         self.violations: Counter[Invariant] = Counter()
-        self._drained: dict[face.Route, float] = {}  # since when
-        self._waits: dict[face.Route | face.Destination, float] = {}  # until when
+        self._drained: dict[interface.Route, float] = {}  # since when
+        self._waits: dict[interface.Route | interface.Destination, float] = {}  # until when
         self._keys: dict[str, list[HeldMessage]] = {}  # in the order in which they were accepted
         self._rests: dict[str, tuple[float, HeldMessage]] = {}  # by key: until when, and by whose call
-        self._out: dict[bytes, list[face.Attempt]] = {}  # begun and not ended, by message
+        self._out: dict[bytes, list[interface.Attempt]] = {}  # begun and not ended, by message
 
     def check(self, holds: bool, invariant: Invariant, **facts: object) -> None:
         """Count and log a violation unless it holds."""
@@ -62,34 +62,34 @@
 
     # What happened
 
-    def held(self, message: HeldMessage) -> None:
+    def held(self, held: HeldMessage) -> None:
         """A message is held from now on."""
-        key = message.mail.key
-        if key is None or not message.mail.queue_class.in_order:
+        key = held.message.key
+        if key is None or not held.message.queue_class.in_order:
             return
         queue = self._keys.setdefault(key, [])
-        queue.append(message)
-        queue.sort(key=lambda each: each.mail.accepted)
+        queue.append(held)
+        queue.sort(key=lambda each: each.message.accepted_at)
 
-    def forgotten(self, message: HeldMessage) -> None:
+    def forgotten(self, held: HeldMessage) -> None:
         """A message is over."""
-        key = message.mail.key
+        key = held.message.key
         if key is not None and (queue := self._keys.get(key)) is not None:
-            if message in queue:
-                queue.remove(message)
+            if held in queue:
+                queue.remove(held)
             if not queue:
                 del self._keys[key]
 
-    def told_to_wait(self, route: face.Route, wait: float) -> None:
+    def told_to_wait(self, route: interface.Route, wait: float) -> None:
         """A route told this process to wait."""
-        bound = route if route.kind.apart else route.destination
+        bound = route if route.kind.limits_per_route else route.destination
         self._waits[bound] = max(self._waits.get(bound, -inf), self._dispatcher.now() + wait)
 
-    def listed(self, routes: list[face.Route]) -> None:
+    def listed(self, routes: list[interface.Route]) -> None:
         """The list told of these routes."""
         now = self._dispatcher.now()
         for route in routes:
-            if route.listed is face.Listed.UP:
+            if route.listed_state is interface.ListedState.UP:
                 self._drained.pop(route, None)
             else:
                 self._drained.setdefault(route, now)
@@ -99,56 +99,56 @@
             del self._drained[route]
         self._waits = {bound: until for bound, until in self._waits.items() if until > now}
 
-    def ended(self, attempt: face.Attempt, message: HeldMessage, ending: face.Ending) -> None:
+    def ended(self, attempt: interface.Attempt, held: HeldMessage, ending: interface.AttemptResult) -> None:
         """An attempt has ended, begun or not."""
-        now, key = self._dispatcher.now(), message.mail.key
-        if ending in face.MAY_RUN_ON and key is not None:
+        now, key = self._dispatcher.now(), held.message.key
+        if ending in interface.RESULTS_THAT_MAY_STILL_RUN and key is not None:
             self._rests = {each: rest for each, rest in self._rests.items() if rest[0] > now}
-            self._rests[key] = now + self._dispatcher.tariff.key_rest, message
-        attempts = self._out.get(message.name, [])
+            self._rests[key] = now + self._dispatcher.tariff.key_cooldown_time, held
+        attempts = self._out.get(held.name, [])
         if attempt in attempts:
             attempts.remove(attempt)
             if not attempts:
-                del self._out[message.name]
+                del self._out[held.name]
 
     # What is done now
 
-    def sending(self, attempt: face.Attempt, message: HeldMessage) -> None:
+    def sending(self, attempt: interface.Attempt, held: HeldMessage) -> None:
         """The first byte of an attempt is about to leave."""
         core = self._dispatcher
         now, route = core.now(), attempt.route
-        facts = {"message": message.name.decode(errors="replace"), "route": route.name}
-        stored = core.store.owed.get(message.name)
-        self.check(core.holds(message), Invariant.SENT_UNOWED, **facts)
+        facts = {"message": held.name.decode(errors="replace"), "route": route.name}
+        stored = core.store.owed.get(held.name)
+        self.check(core.holds(held), Invariant.SENT_UNOWED, **facts)
         recorded = stored is not None and stored.out is not None
         self.check(recorded, Invariant.SENT_UNRECORDED, **facts)
-        self.check(now <= message.end, Invariant.SENT_LATE, late=now - message.end, **facts)
+        self.check(now <= held.end, Invariant.SENT_LATE, late=now - held.end, **facts)
         gone_since = self._drained.get(route, inf)
         drained = now > gone_since + core.tariff.drain_grace
         self.check(not drained, Invariant.SENT_TO_DRAINED, late=now - gone_since, **facts)
         until = max(self._waits.get(route, -inf), self._waits.get(route.destination, -inf))
         self.check(now >= until, Invariant.SENT_DURING_WAIT, early=until - now, **facts)
-        self._check_key(message, facts)
-        copies = message.mail.terms.copies if message.mail.terms else 1
-        out = self._out.setdefault(message.name, [])
+        self._check_key(held, facts)
+        copies = held.message.terms.max_copies if held.message.terms else 1
+        out = self._out.setdefault(held.name, [])
         self.check(len(out) < copies, Invariant.SENT_BESIDE, **facts)
         if stored is not None and stored.ran is not None:
-            self._check_repeat(message.mail.queue_class, now - stored.ran, facts)
+            self._check_repeat(held.message.queue_class, now - stored.ran, facts)
         out.append(attempt)
         self._check_slots(facts)
         self._check_window(route, facts)
 
-    def _check_key(self, message: HeldMessage, facts: dict[str, str]) -> None:
-        core, key = self._dispatcher, message.mail.key
-        if key is None or not message.mail.queue_class.in_order:
+    def _check_key(self, held: HeldMessage, facts: dict[str, str]) -> None:
+        core, key = self._dispatcher, held.message.key
+        if key is None or not held.message.queue_class.in_order:
             return
-        queue = self._keys.get(key, [message])
+        queue = self._keys.get(key, [held])
         # By the records of all processes, too, whatever was told to the decisions.
         first_there = core.peers.view.first_accepted(key) if core.peers.view.processes else inf
-        in_turn = queue[0] is message and message.mail.accepted <= first_there
+        in_turn = queue[0] is held and held.message.accepted_at <= first_there
         self.check(in_turn, Invariant.SENT_OUT_OF_ORDER, key=key, **facts)
-        until, resting = self._rests.get(key, (-inf, message))
-        rested = core.now() >= until or resting is message
+        until, resting = self._rests.get(key, (-inf, held))
+        rested = core.now() >= until or resting is held
         self.check(rested, Invariant.SENT_DURING_REST, key=key, early=until - core.now(), **facts)
 
     def _check_slots(self, facts: dict[str, str]) -> None:
@@ -157,18 +157,18 @@
         fits = not peers.processes or out <= self._dispatcher.tariff.slots
         self.check(fits, Invariant.SENT_OVER_SLOTS, out=out, **facts)
 
-    def _check_window(self, route: face.Route, facts: dict[str, str]) -> None:
+    def _check_window(self, route: interface.Route, facts: dict[str, str]) -> None:
         there = self._dispatcher.peers.view.calls_to.get(route.name, 0)
-        if not there or route.kind.batch > 1:  # a call holds a batch
+        if not there or route.kind.batch_size > 1:  # a call holds a batch
             return
         here = sum(each.route is route for attempts in self._out.values() for each in attempts)
         fits = here + there <= route.window
         self.check(fits, Invariant.SENT_OVER_WINDOW, out=here + there, **facts)
 
-    def _check_repeat(self, kind: face.QueueClass, age: float, facts: dict[str, str]) -> None:
-        once = kind.rerun is face.Rerun.ONCE_ONLY or kind.proven
+    def _check_repeat(self, kind: interface.QueueClass, age: float, facts: dict[str, str]) -> None:
+        once = kind.repeat_safety is interface.RepeatSafety.ONCE_ONLY or kind.never_if_may_have_run
         self.check(not once, Invariant.REPEATED, **facts)
-        forgotten = kind.rerun is face.Rerun.TAGGED and age > kind.memory
+        forgotten = kind.repeat_safety is interface.RepeatSafety.TAGGED and age > kind.tag_memory_time
         self.check(not forgotten, Invariant.REPEATED_LATE, age=age, **facts)
 
     def refusing(self, message: HeldMessage) -> None:
--- a/laureldock/core/messages.py
+++ b/laureldock/core/messages.py
@@ -8,7 +8,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from laureldock import interface as face
+from laureldock import interface
 
 # Seconds before the end of a message's lifetime by which its last call is given up: an answer that crosses
 # that, or is read a moment later, is still in time.
@@ -70,11 +70,11 @@
     name: bytes
     tag: bytes
     body: bytes
-    mail: face.Mail
+    message: interface.Message
     end: float  # of its lifetime, in seconds of the clock of the process
     submitter: Submitter | None = None  # until it has been replied to
     refusal: Reply | None = None
-    recorded_attempt: face.Attempt | None = None  # the last attempt that the store holds to be under way
+    recorded_attempt: interface.Attempt | None = None  # the last attempt that the store holds to be under way
     attempts: int = 0  # by this process
 
     def call_time(self, time_out: float, now: float) -> float:
--- a/laureldock/core/peer_processes.py
+++ b/laureldock/core/peer_processes.py
@@ -61,7 +61,7 @@
             core.log.info("other processes", count=view.processes, owed=len(view.accepted))
             core.guard(core.on_processes, 1 + view.processes)
         self.view = view
-        core.tell(core.control.other_processes, view.as_limits())
+        core.tell(core.control.update_peer_load, view.as_limits())
         self._heed_waits(view)
         self._heed_rests(view)
         self._heed_routes(view)
@@ -73,7 +73,7 @@
                 continue
             if (route := core.book.routes.get(name)) is not None:
                 self._heeded_waits[name] = until
-                core.tell(core.control.told_to_wait, route, until - now)
+                core.tell(core.control.route_requested_wait, route, until - now)
 
     def _heed_rests(self, view: PeerView) -> None:
         core, now = self._dispatcher, self._dispatcher.now()
@@ -81,7 +81,7 @@
         for key, until in view.rests.items():
             if until > now and self._heeded_rests.get(key) != until:
                 self._heeded_rests[key] = until
-                core.tell(core.control.rest_key, key, until)
+                core.tell(core.control.cool_down_key, key, until)
 
     def _heed_routes(self, view: PeerView) -> None:
         core = self._dispatcher
@@ -96,6 +96,6 @@
         """Tell the decisions what another process, or an earlier life, saw of a route."""
         core = self._dispatcher
         if record.back_at is None:
-            core.tell(core.control.route_failed, route, record.at)
+            core.tell(core.control.route_failed_elsewhere, route, record.at)
         else:
-            core.tell(core.control.route_returned, route, record.back_at)
+            core.tell(core.control.route_recovered_elsewhere, route, record.back_at)
--- a/laureldock/core/peer_view.py
+++ b/laureldock/core/peer_view.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from laureldock.interface import OtherProcesses
+from laureldock.interface import PeerLoad
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
         """Whether a message is owed there, or was lately."""
         return name in self.accepted or name in self.ended
 
-    def as_limits(self) -> OtherProcesses:
+    def as_limits(self) -> PeerLoad:
         """What the decisions need of it."""
         first = {key: min(owed.values()) for key, owed in self.keys.items() if owed}
-        return OtherProcesses(self.processes, self.calls_out, self.calls_to, len(self.accepted), first)
+        return PeerLoad(self.processes, self.calls_out, self.calls_to, len(self.accepted), first)
--- a/laureldock/core/recovery.py
+++ b/laureldock/core/recovery.py
@@ -39,7 +39,7 @@
         core = self._dispatcher
         for key, until in core.store.rests.items():
             if until > core.now():
-                core.tell(core.control.rest_key, key, until)
+                core.tell(core.control.cool_down_key, key, until)
 
     def inherit_routes(self) -> None:
         """Routes that an earlier life, or a process that has ended, saw fail or come back a moment ago.
@@ -81,12 +81,12 @@
                 core.end_by_notice(message.name, handed_back=False)
             return
         left = message.end - now
-        mail = core.book.mail(queue_class, message.destination, left, message.customer, message.key)
-        mail.attempts, mail.ran = message.attempts, age_of_first_run(message, now)
-        mail.accepted, mail.ended = message.accepted, bool(message.notice)
-        mail.broken = message.out is not None
-        core.hold(HeldMessage(message.name, message.tag, message.body, mail, now + mail.left))
-        core.tell(core.control.taken, mail)
+        mail = core.book.new_message(queue_class, message.destination, left, message.customer, message.key)
+        mail.earlier_attempts, mail.age_of_first_run = message.attempts, age_of_first_run(message, now)
+        mail.accepted_at, mail.awaits_notice = message.accepted, bool(message.notice)
+        mail.call_interrupted = message.out is not None
+        core.hold(HeldMessage(message.name, message.tag, message.body, mail, now + mail.time_left))
+        core.tell(core.control.message_accepted, mail)
 
 
 def age_of_first_run(message: StoredMessage, now: float) -> float | None:
--- a/laureldock/core/seams.py
+++ b/laureldock/core/seams.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-from laureldock import interface as face
+from laureldock import interface
 from laureldock.core.ends import End
 from laureldock.core.invariants import Invariants
 from laureldock.core.messages import HeldMessage, Reply, StoredMessage, Submitter
 from laureldock.core.peer_view import PeerView, RouteRecord
-from laureldock.tariff import Entry
+from laureldock.delivery_settings import ListedEndpoint
 
 
 class NotAMailError(Exception):
@@ -67,18 +67,18 @@
     def out(self) -> int:
         """Connects without an outcome."""
 
-    def listed(self, route: face.Route, dial: str) -> None: ...
+    def listed(self, route: interface.Route, dial: str) -> None: ...
 
-    def forget(self, routes: Iterable[face.Route]) -> None:
+    def forget(self, routes: Iterable[interface.Route]) -> None:
         """Close what leads to them: they are gone from the list."""
 
-    def attempt(self, attempt: face.Attempt, message: HeldMessage) -> None: ...
+    def attempt(self, attempt: interface.Attempt, message: HeldMessage) -> None: ...
 
-    def cancel(self, attempt: face.Attempt) -> None: ...
+    def cancel(self, attempt: interface.Attempt) -> None: ...
 
-    def probe(self, probe: face.Probe) -> None: ...
+    def probe(self, probe: interface.Probe) -> None: ...
 
-    def hang_up(self, route: face.Route) -> None: ...
+    def hang_up(self, route: interface.Route) -> None: ...
 
     def close(self) -> None: ...
 
@@ -87,7 +87,7 @@
     def start(self) -> None:
         """Tell the list as it was last known."""
 
-    def ask(self, asked: face.AskList) -> None: ...
+    def ask(self, asked: interface.FetchList) -> None: ...
 
     @property
     def settled(self) -> bool:
@@ -224,19 +224,21 @@
     """The core as carriers see it."""
 
     @property
-    def tariff(self) -> face.Tariff: ...
+    def tariff(self) -> interface.DeliverySettings: ...
 
-    def may_begin(self, attempt: face.Attempt, message: HeldMessage) -> bool: ...
+    def may_begin(self, attempt: interface.Attempt, message: HeldMessage) -> bool: ...
 
-    def sending(self, attempt: face.Attempt, message: HeldMessage) -> None:
+    def sending(self, attempt: interface.Attempt, message: HeldMessage) -> None:
         """Its first byte is about to leave: `may_begin` has allowed it."""
 
     def sent(self, message: HeldMessage) -> None:
         """The last byte of a call with it has left."""
 
-    def ended(self, attempt: face.Attempt, message: HeldMessage, end: End, outcome: face.Outcome) -> None: ...
+    def ended(
+        self, attempt: interface.Attempt, message: HeldMessage, end: End, outcome: interface.Outcome
+    ) -> None: ...
 
-    def probed(self, route: face.Route, outcome: face.Outcome) -> None: ...
+    def probed(self, route: interface.Route, outcome: interface.Outcome) -> None: ...
 
 
 class News(Timing, Protocol):
@@ -246,7 +248,7 @@
 
     def guard(self, call: Callable[..., Any], *args: Any) -> Any: ...
 
-    def news(self, hosts: list[tuple[Entry, str]], whole: bool) -> None:
+    def news(self, hosts: list[tuple[ListedEndpoint, str]], whole: bool) -> None:
         """Entries of the list, each with where to dial; `whole` replaces the list held."""
 
     def list_failed(self, why: str) -> None: ...
--- a/laureldock/core/submissions.py
+++ b/laureldock/core/submissions.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from laureldock import interface as face
+from laureldock import interface
 from laureldock.core.messages import ACCEPTED, HeldMessage, Reply, ReplyKind, StoredMessage, Submitter
 from laureldock.core.seams import NotAMailError
 
@@ -66,19 +66,19 @@
         else:
             self.withdraw(message)
 
-    def withdraw(self, message: HeldMessage) -> None:
+    def withdraw(self, held: HeldMessage) -> None:
         """Nobody wants it any more."""
         core = self._dispatcher
-        if not core.holds(message) or core.outlet.owes(message.name):
+        if not core.holds(held) or core.outlet.owes(held.name):
             return
         core.counters["withdrawn"] += 1
-        if message.recorded_attempt and core.peers.possible:  # which may be out for as long
-            core.record_rest(message, message.recorded_attempt.time_out + core.tariff.key_rest)
-        core.records.withdraw(message.name)
-        core.tell(core.control.withdrawn, message.mail)
-        core.forget(message)
+        if held.recorded_attempt and core.peers.possible:  # which may be out for as long
+            core.record_rest(held, held.recorded_attempt.timeout + core.tariff.key_cooldown_time)
+        core.records.withdraw(held.name)
+        core.tell(core.control.message_withdrawn, held.message)
+        core.forget(held)
 
-    def _class_of(self, stored: StoredMessage) -> face.QueueClass:
+    def _class_of(self, stored: StoredMessage) -> interface.QueueClass:
         """NotAMailError: it names no class or destination that is known."""
         core = self._dispatcher
         queue_class = core.book.classes.get(stored.queue_class)
@@ -91,18 +91,18 @@
         return queue_class
 
     def _hold(
-        self, submitter: Submitter, stored: StoredMessage, queue_class: face.QueueClass, left: float
+        self, submitter: Submitter, stored: StoredMessage, queue_class: interface.QueueClass, left: float
     ) -> HeldMessage:
         core = self._dispatcher
-        mail = core.book.mail(queue_class, stored.destination, left, stored.customer, stored.key)
-        mail.accepted = stored.accepted
+        mail = core.book.new_message(queue_class, stored.destination, left, stored.customer, stored.key)
+        mail.accepted_at = stored.accepted
         message = HeldMessage(stored.name, stored.tag, stored.body, mail, core.now() + left, submitter)
         core.hold(message)
         self._unanswered.append(message)
         core.counters["taken"] += 1
         if core.logs_steps:
             core.step("mail taken", message)
-        core.tell(core.control.taken, mail)
+        core.tell(core.control.message_accepted, mail)
         return message
 
     def _put_in_doubt(self, submitter: Submitter, name: bytes) -> Reply | None:
--- a/laureldock/tariff.py
+++ b/laureldock/delivery_settings.py
@@ -10,7 +10,7 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from laureldock import interface as face
+from laureldock import interface
 from laureldock.setup.entries import kind_of, number_of, spots, term_book
 from laureldock.setup.plan import Plan
 from laureldock.setup.plan import QueueClass as Sort
@@ -20,166 +20,170 @@
     from laureldock.setup.catalog import AppliedChange, Catalog, Selection
 
 # Settings that destinations and routes are told; the others are looked up for each mail.
-TOLD_SETTINGS = {"window", "time_out"}
+SETTINGS_KEPT_ON_ROUTES = {"window", "time_out"}
 
 
-def queue_class(sort: Sort, halving: bool) -> face.QueueClass:
-    return face.QueueClass(
-        rerun=face.Rerun(sort.effect),
+def queue_class(sort: Sort, halving: bool) -> interface.QueueClass:
+    return interface.QueueClass(
+        repeat_safety=interface.RepeatSafety(sort.effect),
         importance=1.0 if sort.importance is None else sort.importance,
         target_delay=float(sort.target_delay),
         lifetime=float(sort.lifetime),
         late_share=sort.late_share,
-        halving=halving,
+        halves_importance_when_late=halving,
         in_order=sort.in_order,
-        memory=inf if sort.memory is None else float(sort.memory),
+        tag_memory_time=inf if sort.memory is None else float(sort.memory),
         one_zone=sort.one_zone,
-        proven=sort.resend in ("proven", "never"),
+        never_if_may_have_run=sort.resend in ("proven", "never"),
     )
 
 
-def tariff(plan: Plan, sockets: bool) -> face.Tariff:
+def delivery_settings(plan: Plan, sockets: bool) -> interface.DeliverySettings:
     limits, returning = plan.limits, plan.returning
-    return face.Tariff(
+    return interface.DeliverySettings(
         seed=plan.seed,
         instances=plan.instances,
         slots=limits.slots,
         room=limits.room,
-        most_attempts=limits.connects,
+        max_attempts=limits.connects,
         may_cancel=limits.cancel,
         may_probe=limits.probes,
-        may_copy=limits.copies,
-        must_ask=plan.source.kind == "platform",
-        near_list=sockets,
-        notices=sockets,
+        may_hedge=limits.copies,
+        must_fetch_list=plan.source.kind == "platform",
+        list_is_local=sockets,
+        has_notices=sockets,
         over_quota=limits.over_quota,
-        most_retry_after=float(limits.retry_after),
-        key_rest=float(limits.key_rest),
+        max_retry_after=float(limits.retry_after),
+        key_cooldown_time=float(limits.key_rest),
         start_capacity=returning.start_capacity,
         tip_multiple=returning.tip_multiple,
         fall_time=float(returning.fall_time),
         warm_time=float(returning.warm_time),
-        rates=limits.rates,
-        connect_time=float(limits.connect_time),
+        listed_rates=limits.rates,
+        connect_timeout=float(limits.connect_time),
         idle_time=float(limits.idle_time),
         drain_grace=float(limits.drain_grace),
-        handshake=limits.handshake,
-        fees=limits.fees,
+        handshake_cost=limits.handshake,
+        zone_fees=limits.fees,
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ListedEndpoint:
     """An endpoint as the list names it."""
 
     name: str
     destination: Any
     zone: str
     kind: str
-    rate: float
-    listed: face.Listed
+    listed_rate: float
+    listed_state: interface.ListedState
 
 
-class Book:
+class DeliveryRegistry:
     """The names at the door: queue classes, customers, destinations, the routes listed, and their terms."""
 
     def __init__(self, plan: Plan, sockets: bool = False, terms: TermBook | None = None) -> None:
         self.plan = plan
-        self.tariff = tariff(plan, sockets)
-        self.names: dict[face.QueueClass, str] = {}  # of earlier settings too
-        self.sorts(plan)
-        self.kinds = {name: face.Kind(each.batch, each.apart) for name, each in plan.kinds.items()}
-        self.reports: list[str] = plan.reports
-        self.destinations: dict[Any, face.Destination] = {}
+        self.settings = delivery_settings(plan, sockets)
+        self.class_names: dict[interface.QueueClass, str] = {}  # of earlier settings too
+        self.set_classes(plan)
+        self.kinds = {
+            name: interface.DestinationKind(each.batch, each.apart) for name, each in plan.kinds.items()
+        }
+        self.report_fields: list[str] = plan.reports
+        self.destinations: dict[Any, interface.Destination] = {}
         self.kind_names: dict[Any, str] = {}  # of destinations, as listed or as the plan has them
-        self.routes: dict[str, face.Route] = {}
+        self.routes: dict[str, interface.Route] = {}
         self.term_book = terms or term_book(plan)[0]
-        self.terms: dict[Any, dict[face.QueueClass, face.Terms | None]] = {}  # by destination, as looked up
+        self.terms: dict[
+            Any, dict[interface.QueueClass, interface.Terms | None]
+        ] = {}  # by destination, as looked up
 
-    def retell(self, plan: Plan, terms: TermBook) -> None:
+    def update_terms(self, plan: Plan, terms: TermBook) -> None:
         """Other terms from now on; what is out and what waits keeps its own."""
         same = terms.entries == self.term_book.entries and plan.destinations == self.plan.destinations
         self.plan, self.term_book = plan, terms
-        self.customers = {name: self.customer(name) for name in plan.customers}
+        self.customers = {name: self.customer_of(name) for name in plan.customers}
         if same:  # as in most reloads: thousands of routes need no look
             return
         self.terms.clear()
         self.kind_names.clear()  # the plan has them
         for number, destination in self.destinations.items():
-            self.tell_destination(number, destination)
+            self.set_destination_window(number, destination)
         numbers = {owner: number for number, owner in self.destinations.items()}
         for name, route in self.routes.items():
-            self.tell_route(name, numbers[route.destination], route)
+            self.set_route_terms(name, numbers[route.destination], route)
 
-    def change(self, applied: AppliedChange, catalog: Catalog) -> None:
+    def apply_change(self, applied: AppliedChange, catalog: Catalog) -> None:
         """Likewise, where the plan and the terms held here are a catalog's, changed in place."""
         for name in applied.customers:
             if name in self.plan.customers:
-                self.customers[name] = self.customer(name)
+                self.customers[name] = self.customer_of(name)
             else:
                 self.customers.pop(name, None)
         for removed in applied.endpoints_removed:
-            self.left(removed.before.destination, catalog)
+            self.forget_if_unlisted(removed.before.destination, catalog)
         for put in applied.endpoints_put:
             if put.before is not None:
-                self.left(put.before.destination, catalog)
-                self.retell_routes(put.value.destination, [put.name])
+                self.forget_if_unlisted(put.before.destination, catalog)
+                self.refresh_routes(put.value.destination, [put.name])
         for destination in applied.destinations:
             self.kind_names.pop(number_of(destination), None)  # the plan has it
-            self.retell_destination(destination, catalog)
+            self.refresh_destination(destination, catalog)
         for selection in applied.selections:
-            self.reselect(selection, catalog)
+            self.apply_selection(selection, catalog)
 
-    def left(self, destination: str, catalog: Catalog) -> None:
+    def forget_if_unlisted(self, destination: str, catalog: Catalog) -> None:
         """By an endpoint: nothing is kept that can be worked out again where there is none any more."""
         if destination not in catalog.endpoint_names:
             self.terms.pop(number_of(destination), None)
             self.kind_names.pop(number_of(destination), None)
 
-    def retell_destination(self, destination: str, catalog: Catalog) -> None:
+    def refresh_destination(self, destination: str, catalog: Catalog) -> None:
         number = number_of(destination)
         self.terms.pop(number, None)
         if (owner := self.destinations.get(number)) is not None:
-            self.tell_destination(number, owner)
-            self.retell_routes(destination, catalog.endpoint_names.get(destination, ()))
+            self.set_destination_window(number, owner)
+            self.refresh_routes(destination, catalog.endpoint_names.get(destination, ()))
 
-    def retell_routes(self, destination: str, names: Iterable[str]) -> None:
+    def refresh_routes(self, destination: str, names: Iterable[str]) -> None:
         """Those of them that are its routes by now; the others are told once they are."""
         number = number_of(destination)
         owner = self.destinations.get(number)
         for name in names:
             route = self.routes.get(name)
             if route is not None and route.destination is owner:
-                self.tell_route(name, number, route)
+                self.set_route_terms(name, number, route)
 
-    def reselect(self, selection: Selection, catalog: Catalog) -> None:
+    def apply_selection(self, selection: Selection, catalog: Catalog) -> None:
         """Settings of [[terms]] or of a queue class that hold anew, or no more, where they select."""
         level, name = selection.spot
         if level is Level.ROUTE:
             if (endpoint := catalog.endpoints.get(name)) is not None:
-                self.retell_routes(endpoint.destination, [name])
+                self.refresh_routes(endpoint.destination, [name])
         elif level is Level.DESTINATION:
-            self.retell_destination(name, catalog)
-        elif not selection.settings & TOLD_SETTINGS:
+            self.refresh_destination(name, catalog)
+        elif not selection.settings & SETTINGS_KEPT_ON_ROUTES:
             self.terms.clear()  # worked out again as mails come
         else:
             self.terms.clear()
             kind = name if level is Level.KIND else None
-            self.retell_many(
+            self.refresh_alike(
                 (each for each in catalog.endpoint_names if kind in (None, kind_of(self.plan, each))), catalog
             )
 
-    def retell_many(self, destinations: Iterable[str], catalog: Catalog) -> None:
+    def refresh_alike(self, destinations: Iterable[str], catalog: Catalog) -> None:
         """Of destinations, and of routes, that are alike one is worked out; the others get the same."""
         windows: dict[object, float] = {}
-        known: dict[object, face.Route] = {}
+        known: dict[object, interface.Route] = {}
         for destination in destinations:
             number = number_of(destination)
             owner, state = self.destinations.get(number), catalog.destination_state(destination)
             if owner is None or state is None:
                 continue
             if state.alike not in windows:
-                self.tell_destination(number, owner)
+                self.set_destination_window(number, owner)
                 windows[state.alike] = owner.window
             owner.window = windows[state.alike]
             for name in catalog.endpoint_names[destination]:
@@ -188,102 +192,107 @@
                     continue
                 alike = *state.alike, catalog.term_book.set_at((Level.ROUTE, name))
                 if (other := known.get(alike)) is None:
-                    self.tell_route(name, number, route)
+                    self.set_route_terms(name, number, route)
                     known[alike] = route
                 else:
-                    route.window, route.time_outs = other.window, other.time_outs
+                    route.window, route.timeouts = other.window, other.timeouts
 
-    def reclass(self, plan: Plan) -> None:
+    def update_classes(self, plan: Plan) -> None:
         """Other queue classes and limits from now on; mails taken on keep the class that they had."""
-        self.plan, self.tariff = plan, tariff(plan, self.tariff.notices)
-        self.sorts(plan)
+        self.plan, self.settings = plan, delivery_settings(plan, self.settings.has_notices)
+        self.set_classes(plan)
         self.terms.clear()
 
-    def sorts(self, plan: Plan) -> None:
+    def set_classes(self, plan: Plan) -> None:
         """Queue classes and customers by the plan; the names of classes before stay known."""
         halving = plan.limits.fades == "halving"
         self.classes = {name: queue_class(sort, halving) for name, sort in plan.classes.items()}
-        self.names.update({kind: name for name, kind in self.classes.items()})
-        self.customers = {name: face.Customer(each.quota) for name, each in plan.customers.items()}
+        self.class_names.update({kind: name for name, kind in self.classes.items()})
+        self.customers = {name: interface.Customer(each.quota) for name, each in plan.customers.items()}
 
-    def customer(self, name: str) -> face.Customer:
+    def customer_of(self, name: str) -> interface.Customer:
         """By the plan; the same as before if it has the same quota."""
         quota = self.plan.customers[name].quota
         known = self.customers.get(name)
-        return known if known is not None and known.quota == quota else face.Customer(quota)
+        return known if known is not None and known.quota == quota else interface.Customer(quota)
 
-    def name_of(self, kind: face.QueueClass) -> str:
-        return self.names.get(kind, "")
+    def class_name(self, kind: interface.QueueClass) -> str:
+        return self.class_names.get(kind, "")
 
-    def destination(self, number: Any) -> face.Destination:
+    def destination(self, number: Any) -> interface.Destination:
         found = self.destinations.get(number)
         if found is None:
-            found = self.destinations[number] = face.Destination()
-            self.tell_destination(number, found)
+            found = self.destinations[number] = interface.Destination()
+            self.set_destination_window(number, found)
         return found
 
-    def spots(self, number: Any, route: str = "") -> list[Any]:
+    def term_scopes(self, number: Any, route: str = "") -> list[Any]:
         kind = self.kind_names.get(number) or kind_of(self.plan, str(number))
         return spots(kind, str(number), route)
 
-    def tell_destination(self, number: Any, destination: face.Destination) -> None:
-        destination.window = self.term_book.value("window", "", self.spots(number), inf)
+    def set_destination_window(self, number: Any, destination: interface.Destination) -> None:
+        destination.window = self.term_book.value("window", "", self.term_scopes(number), inf)
 
-    def tell_route(self, name: str, number: Any, route: face.Route) -> None:
-        book, where = self.term_book, self.spots(number, name)
+    def set_route_terms(self, name: str, number: Any, route: interface.Route) -> None:
+        book, where = self.term_book, self.term_scopes(number, name)
         route.window = book.value("window", "", where, inf)
         if "time_out" in book.settings:
             found = ((kind, book.value("time_out", each, where)) for each, kind in self.classes.items())
-            route.time_outs = {kind: float(value) for kind, value in found if value is not None}
+            route.timeouts = {kind: float(value) for kind, value in found if value is not None}
         else:
-            route.time_outs = {}
+            route.timeouts = {}
 
-    def mail(
-        self, kind: face.QueueClass, number: Any, left: float, customer: str = "", key: str | None = None
-    ) -> face.Mail:
+    def new_message(
+        self, kind: interface.QueueClass, number: Any, left: float, customer: str = "", key: str | None = None
+    ) -> interface.Message:
         known = self.terms.setdefault(number, {})
         if kind not in known:
-            known[kind] = self.terms_of(kind, number)
+            known[kind] = self.terms_for(kind, number)
         owner = self.destination(number)
-        return face.Mail(kind, owner, left, self.customers.get(customer), key, terms=known[kind])
+        return interface.Message(kind, owner, left, self.customers.get(customer), key, terms=known[kind])
 
-    def terms_of(self, kind: face.QueueClass, number: Any) -> face.Terms | None:
+    def terms_for(self, kind: interface.QueueClass, number: Any) -> interface.Terms | None:
         """What was set for a queue class at a destination beyond its own importance."""
-        book, where = self.term_book, self.spots(number)
+        book, where = self.term_book, self.term_scopes(number)
         name = next(each for each, other in self.classes.items() if other is kind)
         never = self.plan.classes[name].resend == "never"
-        most = self.tariff
-        terms = face.Terms(
+        most = self.settings
+        terms = interface.Terms(
             float(book.value("importance", name, where, kind.importance)),
-            1 if never else book.value("connects", name, where, most.most_attempts),
-            float(book.value("retry_after", name, where, most.most_retry_after)),
+            1 if never else book.value("connects", name, where, most.max_attempts),
+            float(book.value("retry_after", name, where, most.max_retry_after)),
             book.value("copies", name, where, 1),
             float(book.value("copy_after", name, where, kind.target_delay / 2)),
         )
-        plain = face.Terms(kind.importance, most.most_attempts, most.most_retry_after, 1, terms.copy_after)
+        plain = interface.Terms(kind.importance, most.max_attempts, most.max_retry_after, 1, terms.copy_after)
         return None if terms == plain else terms
 
-    def listed(self, entries: list[Entry], whole: bool) -> list[face.Route]:
+    def update_list(self, entries: list[ListedEndpoint], whole: bool) -> list[interface.Route]:
         """The routes named, brought up to date; what is gone is forgotten."""
-        named = [self.route(entry) for entry in entries]
+        named = [self.update_route(entry) for entry in entries]
         if whole:
             known = set(named)
             for route in self.routes.values():
                 if route not in known:
-                    route.listed = face.Listed.REMOVED
+                    route.listed_state = interface.ListedState.REMOVED
         for route in list(self.routes.values()) if whole else named:
-            if route.listed is face.Listed.REMOVED:
+            if route.listed_state is interface.ListedState.REMOVED:
                 self.routes.pop(route.name, None)
         return named
 
-    def route(self, entry: Entry) -> face.Route:
+    def update_route(self, entry: ListedEndpoint) -> interface.Route:
         route = self.routes.get(entry.name)
         if route is None:
             if entry.kind:
                 self.kind_names.setdefault(entry.destination, entry.kind)
-            kind, owner = self.kinds.get(entry.kind) or face.Kind(), self.destination(entry.destination)
-            route = face.Route(owner, entry.zone, kind, entry.rate, entry.listed, entry.name)
+            kind, owner = (
+                self.kinds.get(entry.kind) or interface.DestinationKind(),
+                self.destination(entry.destination),
+            )
+            route = interface.Route(
+                owner, entry.zone, kind, entry.listed_rate, entry.listed_state, entry.name
+            )
             self.routes[entry.name] = route
-            self.tell_route(entry.name, entry.destination, route)
-        route.listed, route.rate = entry.listed, entry.rate
+            self.set_route_terms(entry.name, entry.destination, route)
+        route.listed_state, route.listed_rate = entry.listed_state, entry.listed_rate
         return route
--- a/laureldock/sources/controlled.py
+++ b/laureldock/sources/controlled.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from laureldock.core.seams import News
-from laureldock.interface import AskList
+from laureldock.interface import FetchList
 from laureldock.replication import messages
 from laureldock.replication.change_log import Record
 from laureldock.replication.configuration_store import ConfigurationStore, KeptConfiguration
@@ -354,7 +354,7 @@
             self.settled = True
             self.core.guard(self.core.news, [], False)  # clients may come now
 
-    def ask(self, asked: AskList) -> None:
+    def ask(self, asked: FetchList) -> None:
         """The controller tells what there is by itself."""
 
     def close(self) -> None:
--- a/laureldock/sources/listed.py
+++ b/laureldock/sources/listed.py
@@ -5,16 +5,16 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from laureldock import interface as face
+from laureldock import interface
 from laureldock.core.seams import News
+from laureldock.delivery_settings import ListedEndpoint
 from laureldock.setup.entries import kind_of, name_of, number_of
 from laureldock.setup.plan import Endpoint, Plan
-from laureldock.tariff import Entry
 
-Listing = dict[str, tuple[Entry, str]]  # by name, each with where to dial
+Listing = dict[str, tuple[ListedEndpoint, str]]  # by name, each with where to dial
 
 
-def entries(plan: Plan) -> list[tuple[Entry, str]]:
+def entries(plan: Plan) -> list[tuple[ListedEndpoint, str]]:
     return list(listing(plan).values())
 
 
@@ -26,13 +26,13 @@
     """Of some endpoints, with the kinds of their destinations by that plan."""
     return {
         name_of(each): (
-            Entry(
+            ListedEndpoint(
                 name_of(each),
                 number_of(each.destination),
                 each.zone,
                 kind_of(plan, each.destination),
                 each.rate,
-                face.Listed.UP,
+                interface.ListedState.UP,
             ),
             str(each.address),
         )
@@ -40,7 +40,7 @@
     }
 
 
-def fixed(entry: Entry) -> tuple[int | str, str, str]:
+def fixed(entry: ListedEndpoint) -> tuple[int | str, str, str]:
     """What a route has for as long as it is listed: where it is another, another route is listed."""
     return entry.destination, entry.kind, entry.zone
 
@@ -68,7 +68,9 @@
                 gone.append(before)
             self.held[name] = each
             told.append(each)
-        removals = [(replace(entry, listed=face.Listed.REMOVED), dial) for entry, dial in gone]
+        removals = [
+            (replace(entry, listed_state=interface.ListedState.REMOVED), dial) for entry, dial in gone
+        ]
         # Guards mails against a name that moved: its route is the old destination's until it is gone.
         for news in (removals, told):
             if news:
@@ -76,7 +78,7 @@
 
     settled = True
 
-    def ask(self, asked: face.AskList) -> None:
+    def ask(self, asked: interface.FetchList) -> None:
         """There is nobody to ask."""
 
     def close(self) -> None:
--- a/laureldock/sources/platform.py
+++ b/laureldock/sources/platform.py
@@ -9,13 +9,13 @@
 
 from laureldock.core.ends import End
 from laureldock.core.seams import News
-from laureldock.interface import AskList, Listed
+from laureldock.delivery_settings import ListedEndpoint
+from laureldock.interface import FetchList, ListedState
 from laureldock.setup.units import address
 from laureldock.sockets.httpline import Asker, HttpLine
-from laureldock.tariff import Entry
 from laureldock.wire.http1 import Headers
 
-LISTED = {"Ready": Listed.UP, "Terminating": Listed.DRAINING, "Gone": Listed.REMOVED}
+LISTED = {"Ready": ListedState.UP, "Terminating": ListedState.DRAINING, "Gone": ListedState.REMOVED}
 MOST_BODY = 1 << 22  # some ten thousand entries, and far from the memory allowed
 # How long an answer may come in pieces. Of the six seconds after which a change counts as told, 2.3 show
 # a silent watch, and 1.9 go for an ask each that is refused, hangs, is silent, cut short, spoilt or an
@@ -23,7 +23,7 @@
 SLOW = 0.7
 
 
-def read(news: Any) -> tuple[int, bool, list[tuple[Entry, str]]]:
+def read(news: Any) -> tuple[int, bool, list[tuple[ListedEndpoint, str]]]:
     """A list or changes of it, each entry with where to dial; ValueError for what is neither."""
     try:
         seq, whole, hosts = news["seq"], news["whole"], news["hosts"]
@@ -34,17 +34,17 @@
         raise ValueError(f"not a list of hosts: {fault!r}") from None
 
 
-def entry(host: dict[str, Any]) -> Entry:
+def entry(host: dict[str, Any]) -> ListedEndpoint:
     rate = float(host.get("share") or 0)
     if not 0 <= rate < 1e9:
         raise ValueError(f"no share: {rate}")
-    return Entry(
+    return ListedEndpoint(
         name=str(host["host"]),
         destination=int(host["block"]),
         zone=str(host.get("site")),
         kind=str(host.get("class")),
-        rate=rate,
-        listed=LISTED[host["health"]],
+        listed_rate=rate,
+        listed_state=LISTED[host["health"]],
     )
 
 
@@ -53,7 +53,7 @@
         super().__init__(reactor, dial, MOST_BODY)
         self.core, self.known = core, known
         self.seq: int | None = None
-        self.asked: AskList | None = None  # and since when
+        self.asked: FetchList | None = None  # and since when
         self.since = self.waits = 0.0  # when the ask that is out began, and for how long it may wait
         self.watching = self.settled = False
 
@@ -61,16 +61,16 @@
         """What this dispatcher had last, from its configuration."""
         self.take(*read(self.known))
 
-    def take(self, seq: int, whole: bool, hosts: list[tuple[Entry, str]]) -> None:
+    def take(self, seq: int, whole: bool, hosts: list[tuple[ListedEndpoint, str]]) -> None:
         self.seq = seq
         self.core.news(hosts, whole)
 
-    def ask(self, asked: AskList) -> None:
+    def ask(self, asked: FetchList) -> None:
         if not self.busy:
             self.asked, self.since = asked, self.core.now()
             # The first after a start or a failure need not wait for news, so that silence shows sooner.
-            self.waits = asked.wait if self.watching else 0.0
-            self.begin(self.waits + asked.time_out, asked.time_out, self.waits + SLOW)
+            self.waits = asked.max_wait if self.watching else 0.0
+            self.begin(self.waits + asked.timeout, asked.timeout, self.waits + SLOW)
 
     def move(self, dial: str) -> None:
         super().move(dial)
--- a/tests/assembled.py
+++ b/tests/assembled.py
@@ -37,7 +37,7 @@
             assert all(name.startswith("destination.") and name.endswith(".kind") for name in barred), barred
             fresh = Prepared.of(plan)
             self.plan = plan
-            self.core.book.retell(plan, fresh.terms)
+            self.core.book.update_terms(plan, fresh.terms)
             assert self.listed is not None
             self.listed.reread(fresh.listing)
 
@@ -51,17 +51,21 @@
         names = {kind: name for name, kind in book.classes.items()}
         routes = {
             name: (
-                numbers[route.destination], route.zone, (route.kind.batch, route.kind.apart), route.rate,
-                route.listed, route.window, {names[kind]: value for kind, value in route.time_outs.items()},
+                numbers[route.destination], route.zone, (route.kind.batch_size, route.kind.limits_per_route),
+                route.listed_rate, route.listed_state, route.window,
+                {names[kind]: value for kind, value in route.timeouts.items()},
             )
             for name, route in book.routes.items()
         }  # fmt: skip
         lines = {
-            numbers[owner]: (line.batch, {route.name: lane.state for route, lane in line.lanes.items()})
-            for owner, line in control.lines.items()
+            numbers[owner]: (
+                line.batch_size,
+                {route.name: lane.circuit for route, lane in line.route_states.items()},
+            )
+            for owner, line in control.destination_states.items()
         }
         terms = {
-            (name, number): book.mail(kind, number, 1.0).terms
+            (name, number): book.new_message(kind, number, 1.0).terms
             for name, kind in book.classes.items()
             for number in book.destinations
         }
--- a/tests/dock.py
+++ b/tests/dock.py
@@ -14,24 +14,29 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from laureldock import interface as face
+from laureldock import interface
 from laureldock.assembly import Assembly
-from laureldock.control import Control
-from laureldock.interface import Ending, Rerun
+from laureldock.delivery_policy import DeliveryPolicy
+from laureldock.interface import AttemptResult, RepeatSafety
 from laureldock.setup.platform import of_platform
 
-TARIFF = face.Tariff(
-    seed=7, instances=2, slots=8, room=40, most_attempts=4, may_cancel=True, may_probe=False, may_copy=False,
-    must_ask=False, over_quota=0.2, most_retry_after=3.0, key_rest=0.3, start_capacity=0.2, tip_multiple=2.0,
-    fall_time=3.0, warm_time=10.0, rates="nominal", near_list=False, notices=False,
+TARIFF = interface.DeliverySettings(
+    seed=7, instances=2, slots=8, room=40, max_attempts=4, may_cancel=True, may_probe=False, may_hedge=False,
+    must_fetch_list=False, over_quota=0.2, max_retry_after=3.0, key_cooldown_time=0.3, start_capacity=0.2,
+    tip_multiple=2.0, fall_time=3.0, warm_time=10.0, listed_rates="nominal", list_is_local=False,
+    has_notices=False,
 )  # fmt: skip
 SORTS = {
-    "redeliverable": face.QueueClass(Rerun.REDELIVERABLE, 1, 2, 10, 0.5, False),
-    "tagged": face.QueueClass(Rerun.TAGGED, 1, 2, 10, 0.5, False, memory=6),
-    "once-only": face.QueueClass(Rerun.ONCE_ONLY, 5, 2, 10, 0.5, False),
-    "one-zone": face.QueueClass(Rerun.TAGGED, 1, 2, 10, 0.5, False, memory=6, one_zone=True),
-    "in-order": face.QueueClass(Rerun.TAGGED, 1, 2, 10, 0.5, False, in_order=True, memory=10),
-    "fading": face.QueueClass(Rerun.REDELIVERABLE, 1, 1, 5, 0.0, True),
+    "redeliverable": interface.QueueClass(RepeatSafety.REDELIVERABLE, 1, 2, 10, 0.5, False),
+    "tagged": interface.QueueClass(RepeatSafety.TAGGED, 1, 2, 10, 0.5, False, tag_memory_time=6),
+    "once-only": interface.QueueClass(RepeatSafety.ONCE_ONLY, 5, 2, 10, 0.5, False),
+    "one-zone": interface.QueueClass(
+        RepeatSafety.TAGGED, 1, 2, 10, 0.5, False, tag_memory_time=6, one_zone=True
+    ),
+    "in-order": interface.QueueClass(
+        RepeatSafety.TAGGED, 1, 2, 10, 0.5, False, in_order=True, tag_memory_time=10
+    ),
+    "fading": interface.QueueClass(RepeatSafety.REDELIVERABLE, 1, 1, 5, 0.0, True),
 }
 
 
@@ -57,13 +62,13 @@
 class Dock(Trace):
     def __init__(self, **changes: Any) -> None:
         super().__init__()
-        self.control = Control(dataclasses.replace(TARIFF, **changes), self.now)
-        self.mails: dict[str, face.Mail] = {}
-        self.names: dict[face.Mail, str] = {}
-        self.out: dict[str, face.Attempt] = {}
-        self.calls: dict[face.Attempt, float] = {}
-        self.destinations: dict[str, face.Destination] = {}
-        self.routes: dict[str, face.Route] = {}
+        self.control = DeliveryPolicy(dataclasses.replace(TARIFF, **changes), self.now)
+        self.mails: dict[str, interface.Message] = {}
+        self.names: dict[interface.Message, str] = {}
+        self.out: dict[str, interface.Attempt] = {}
+        self.calls: dict[interface.Attempt, float] = {}
+        self.destinations: dict[str, interface.Destination] = {}
+        self.routes: dict[str, interface.Route] = {}
 
     def listed(
         self, *names: str, rate: float = 100.0, batch: int = 1, apart: bool = True, state: str = "up",
@@ -71,58 +76,62 @@
     ) -> None:  # fmt: skip
         """Routes are named by destination and number, as in `north/1`."""
         for name in names:
-            owner = self.destinations.setdefault(name.split("/")[0], face.Destination())
-            fresh = face.Route(owner, zone, face.Kind(batch, apart), rate, face.Listed.UP, name)
-            self.routes.setdefault(name, fresh).listed = face.Listed(state)
-        self.control.news(self.now, [self.routes[name] for name in names], False)
+            owner = self.destinations.setdefault(name.split("/")[0], interface.Destination())
+            fresh = interface.Route(
+                owner, zone, interface.DestinationKind(batch, apart), rate, interface.ListedState.UP, name
+            )
+            self.routes.setdefault(name, fresh).listed_state = interface.ListedState(state)
+        self.control.list_updated(self.now, [self.routes[name] for name in names], False)
 
     def mail(
         self, name: str, sort: str, to: str = "north", left: float | None = None, key: str | None = None,
-        terms: face.Terms | None = None,
+        terms: interface.Terms | None = None,
     ) -> None:  # fmt: skip
-        owner = self.destinations.setdefault(to, face.Destination())
+        owner = self.destinations.setdefault(to, interface.Destination())
         kind = SORTS[sort]
-        mail = face.Mail(kind, owner, kind.lifetime if left is None else left, None, key, terms=terms)
-        mail.accepted = self.now
+        mail = interface.Message(kind, owner, kind.lifetime if left is None else left, None, key, terms=terms)
+        mail.accepted_at = self.now
         self.mails[name], self.names[mail] = mail, name
-        self.control.taken(self.now, mail)
+        self.control.message_accepted(self.now, mail)
 
     def end(
         self, name: str, ending: str, wait: float = 0.0, report: tuple[float, float] | None = None,
         took: float = 0.1,
     ) -> None:  # fmt: skip
         """The attempt of a mail that is out ends; `report` is what is left of the limit, and the limit."""
-        kind, attempt = Ending(ending), self.out.pop(name)
+        kind, attempt = AttemptResult(ending), self.out.pop(name)
         left, limit = report or (1.0, None)
-        outcome = face.Outcome(kind, took, kind is Ending.SERVED, wait, limit, left)
+        outcome = interface.Outcome(kind, took, kind is AttemptResult.SERVED, wait, limit, left)
         self.say(f"{name}: {ending}" + (f", wait {wait:g}" if wait else ""))
-        self.control.ended(self.now, attempt, outcome)
+        self.control.attempt_ended(self.now, attempt, outcome)
 
     def withdraw(self, name: str) -> None:
         self.say(f"{name}: withdrawn")
-        self.control.withdrawn(self.now, self.mails[name])
+        self.control.message_withdrawn(self.now, self.mails[name])
 
     def turn(self) -> None:
         for effect in self.control.turn(self.now):
             match effect:
-                case face.Attempt(mail=mail, route=route, time_out=time_out):
+                case interface.Attempt(message=mail, route=route, timeout=time_out):
                     self.out[self.names[mail]] = effect
                     self.say(f"-> {self.names[mail]} to {route.name}, {time_out:.2f} s")
-                case face.Defer(mail=mail, retry_after=retry_after):
+                case interface.Defer(message=mail, retry_after=retry_after):
                     self.say(f"-> {self.names[mail]} deferred, back in {retry_after:.2f} s")
-                case face.Bounce(mail=mail):
+                case interface.Bounce(message=mail):
                     self.say(f"-> {self.names[mail]} bounced")
-                case face.Cancel(attempt=attempt):
-                    self.say(f"-> {self.names[attempt.mail]} called off")
-                case face.Probe(route=route):
+                case interface.Cancel(attempt=attempt):
+                    self.say(f"-> {self.names[attempt.message]} called off")
+                case interface.Probe(route=route):
                     self.say(f"-> probe of {route.name}")
-                case face.AskList(watch=watch):
+                case interface.FetchList(watch=watch):
                     self.say("-> watch the list" if watch else "-> ask for the list")
-                case face.Timer(name="sweep"):
-                    self.control.timer(self.now, "sweep")
-                case face.Timer(name="idle") | face.RouteFailed() | face.RouteReturned():
+                case interface.StartTimer(name="sweep"):
+                    self.control.timer_expired(self.now, "sweep")
+                case interface.StartTimer(name="idle") | interface.RouteFailed() | interface.RouteRecovered():
                     pass  # turns come anyway; there is no other process
-                case face.HangUp(route=route):
+                case interface.StartTimer(delay=delay, name=name):
+                    self.say(f"-> Timer(after={delay!r}, name={name!r})")
+                case interface.CloseIdleConnections(route=route):
                     self.say(f"-> idle connections to {route.name} closed")
                 case _:
                     self.say(f"-> {effect}")
--- a/tests/test_changes_in_flight.py
+++ b/tests/test_changes_in_flight.py
@@ -12,7 +12,7 @@
 from msgspec import structs
 from test_catalog import BASE, CHANGES, calls_of, destination, endpoint, put, removal, terms
 
-from laureldock import interface as face
+from laureldock import interface
 from laureldock.assembly import Prepared
 from laureldock.setup.catalog import RefusedChangeError
 from laureldock.setup.changes import Change, ClassEntry, ClassSettings, CustomerEntry
@@ -36,10 +36,10 @@
         assert not each.core.counters["faults"]
 
 
-def taken(dispatcher: Assembled, customer: str = "") -> face.Mail:
+def taken(dispatcher: Assembled, customer: str = "") -> interface.Message:
     book, core = dispatcher.core.book, dispatcher.core
-    mail = book.mail(book.classes["news"], "north", 9.0, customer)
-    core.control.taken(core.now(), mail)
+    mail = book.new_message(book.classes["news"], "north", 9.0, customer)
+    core.control.message_accepted(core.now(), mail)
     return mail
 
 
@@ -55,8 +55,8 @@
     )
     after = taken(dispatcher, "acme")
     assert before.terms and after.terms and before.customer and after.customer
-    assert (before.terms.most_attempts, after.terms.most_attempts) == (2, 3)
-    assert before.notes.terms is before.terms
+    assert (before.terms.max_attempts, after.terms.max_attempts) == (2, 3)
+    assert before.policy_state.terms is before.terms
     assert (before.customer.quota, after.customer.quota) == (5.0, 1.0)
     dispatcher.apply_change(removal("customer.acme"))
     assert taken(dispatcher, "acme").customer is None and before.customer.quota == 5.0
@@ -67,9 +67,9 @@
     dispatcher.apply_change(put(endpoint("n1", "north"), endpoint("s1", "south", 9002)))
     mail = taken(dispatcher)
     dispatcher.apply_change(removal("endpoint.n1"))
-    assert dispatcher.core.control.lines[mail.destination].lanes == {}
+    assert dispatcher.core.control.destination_states[mail.destination].route_states == {}
     dispatcher.apply_change(put(endpoint("n2", "north", 9003)))
-    lanes = dispatcher.core.control.lines[mail.destination].lanes
+    lanes = dispatcher.core.control.destination_states[mail.destination].route_states
     assert [route.name for route in lanes] == ["n2"]
     assert mail.destination is dispatcher.core.book.destination("north")
 
@@ -78,11 +78,11 @@
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north", 9001)))
     route = dispatcher.core.book.routes["n1"]
-    lane = route.notes
+    lane = route.policy_state
     dispatcher.apply_change(put(endpoint("n1", "north", 9002, time_out=Seconds(2))))
-    assert dispatcher.core.book.routes["n1"] is route and route.notes is lane
+    assert dispatcher.core.book.routes["n1"] is route and route.policy_state is lane
     assert dispatcher.receivers.pools[route].dial == "127.0.0.1:9002"
-    assert list(route.time_outs.values()) == [2.0, 2.0]
+    assert list(route.timeouts.values()) == [2.0, 2.0]
 
 
 def test_a_refused_change_tells_the_dispatcher_nothing(start: Start) -> None:
@@ -104,7 +104,7 @@
         puts = (endpoint("n1", f"d{number}"), destination(f"d{number}", "shop"))
         dispatcher.apply_change(Change(puts, gone.removals))
         gone = removal(f"destination.d{number}")
-        book.mail(book.classes["news"], f"d{number}", 1.0)
+        book.new_message(book.classes["news"], f"d{number}", 1.0)
     assert dispatcher.catalog is not None and dispatcher.listed is not None
     sizes = [len(dispatcher.catalog), len(dispatcher.listed.held), len(dispatcher.receivers.pools)]
     assert sizes == [2, 1, 1] and len(dispatcher.catalog.endpoint_names) == 1
@@ -164,7 +164,7 @@
     news = book.classes["news"]
     for seconds in (3.0, 4.0):
         dispatcher.apply_change(put(ClassEntry("news", ClassSettings(time_out=Seconds(seconds)))))
-        found = {name: route.time_outs.get(news) for name, route in book.routes.items()}
+        found = {name: route.timeouts.get(news) for name, route in book.routes.items()}
         expected = {name: 7.0 if int(name[1:]) % 3 == 2 else seconds for name in found if name != "own"}
         assert found == {**expected, "own": seconds}
     assert {name: route.window for name, route in book.routes.items() if route.window < 9} == {
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -15,13 +15,13 @@
 
 from laureldock.cli import main
 from laureldock.cli.config import shown
+from laureldock.delivery_settings import DeliveryRegistry
 from laureldock.setup import plan as model
 from laureldock.setup.faults import RefusedError
 from laureldock.setup.plan import Plan
 from laureldock.setup.reading import Override, load, overrides_of
 from laureldock.setup.reload import refused
 from laureldock.setup.units import Seconds, Size, decode, encode
-from laureldock.tariff import Book
 
 BASE = """\
 [limits]
@@ -326,10 +326,10 @@
 # Terms
 
 
-def book(text: str, path: Path) -> tuple[Plan, Book]:
+def book(text: str, path: Path) -> tuple[Plan, DeliveryRegistry]:
     path.write_text(BASE + text)
     plan = load(str(path)).plan
-    return plan, Book(plan, sockets=True)
+    return plan, DeliveryRegistry(plan, sockets=True)
 
 
 def test_the_narrower_entry_wins_and_an_entry_naming_both_settles_a_conflict(tmp_path: Path) -> None:
@@ -356,21 +356,20 @@
     from laureldock.sources.listed import entries
 
     plan, terms = book(text, tmp_path / "laureldock.toml")
-    routes = {route.name: route for route in terms.listed([entry for entry, _ in entries(plan)], True)}
+    routes = {route.name: route for route in terms.update_list([entry for entry, _ in entries(plan)], True)}
     names = {kind: name for name, kind in terms.classes.items()}
     found = {
-        name: {names[kind]: value for kind, value in route.time_outs.items()}
-        for name, route in routes.items()
+        name: {names[kind]: value for kind, value in route.timeouts.items()} for name, route in routes.items()
     }
     assert found == {
         "n1": {"news": 2.0, "order": 3.0, "charge": 3.0},
         "s1": {"news": 4.0, "order": 5.0, "charge": 5.0},
     }
     assert (routes["n1"].destination.window, routes["s1"].destination.window) == (4, float("inf"))
-    mail = terms.mail(terms.classes["charge"], "north", 10.0)
-    assert mail.terms and (mail.terms.importance, mail.terms.most_attempts) == (9.0, 2)
-    assert mail.terms.most_retry_after == 0.5
-    assert terms.mail(terms.classes["charge"], "south", 10.0).terms is None
+    mail = terms.new_message(terms.classes["charge"], "north", 10.0)
+    assert mail.terms and (mail.terms.importance, mail.terms.max_attempts) == (9.0, 2)
+    assert mail.terms.max_retry_after == 0.5
+    assert terms.new_message(terms.classes["charge"], "south", 10.0).terms is None
 
 
 def test_a_reload_may_change_terms_and_endpoints_and_nothing_else(tmp_path: Path) -> None:
@@ -453,7 +452,7 @@
         path.write_text(BASE + 'zone = "b"\n' + customers.format(quota=3.0))
         dispatcher.reloaded(load(str(path)).plan)
         assert book.customers["kept"] is kept and book.customers["other"].quota == 3.0
-        assert book.routes["s1"].zone == "b" and route.listed.value == "removed"
+        assert book.routes["s1"].zone == "b" and route.listed_state.value == "removed"
         assert not dispatcher.core.counters["configurations refused"]
     finally:
         dispatcher.close()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -4,7 +4,7 @@
 
 from dock import SORTS, Dock
 
-from laureldock import interface as face
+from laureldock import interface
 
 
 def test_draw_spreads_over_live_routes_by_their_rates() -> None:
@@ -179,17 +179,17 @@
     """While two processes hand over, a key's next mail here once went out before the one owed there."""
     dock = Dock()
     dock.listed("north/1")
-    dock.control.other_processes(
-        dock.now, face.OtherProcesses(1, owed=1, first_accepted={"k": dock.now - 0.01})
+    dock.control.update_peer_load(
+        dock.now, interface.PeerLoad(1, pending=1, first_accepted_at={"k": dock.now - 0.01})
     )
     dock.mail("here", "in-order", key="k")
     dock.after(0.2)
     dock.say("the other process has ended; its mail of k is taken over")
-    dock.control.other_processes(dock.now, face.OtherProcesses())
+    dock.control.update_peer_load(dock.now, interface.PeerLoad())
     kind, owner = SORTS["in-order"], dock.destinations["north"]
-    there = face.Mail(kind, owner, kind.lifetime, None, "k", accepted=99.99)
+    there = interface.Message(kind, owner, kind.lifetime, None, "k", accepted_at=99.99)
     dock.mails["there"], dock.names[there] = there, "there"
-    dock.control.taken(dock.now, there)
+    dock.control.message_accepted(dock.now, there)
     dock.after(0.2)
     dock.end("there", "served")
     dock.after(0.1)
@@ -318,12 +318,12 @@
 
 
 def test_list_is_asked_for_at_start_and_after_failures() -> None:
-    dock = Dock(must_ask=True)
+    dock = Dock(must_fetch_list=True)
     dock.turn()
     for _ in range(3):
         dock.control.list_failed(dock.now)
         dock.turn()
-    dock.control.timer(dock.now, "ask")
+    dock.control.timer_expired(dock.now, "ask")
     dock.turn()
     assert dock.same_as("list")
 
@@ -411,13 +411,13 @@
 
 
 def test_a_copy_stays_in_the_building_of_the_first() -> None:
-    dock = Dock(may_copy=True, slots=20)
+    dock = Dock(may_hedge=True, slots=20)
     for place in ("1", "2"):
         dock.listed(f"north/a{place}", zone="a")
         dock.listed(f"north/b{place}", zone="b")
     for number in range(20):
         name = f"m{number}"
-        dock.mail(name, "one-zone", terms=face.Terms(1.0, 4, 1.0, 2, 0.1))
+        dock.mail(name, "one-zone", terms=interface.Terms(1.0, 4, 1.0, 2, 0.1))
         dock.after(0.2)
         dock.end(name, "served")
     sent: dict[str, list[str]] = {}  # the building of each first and of its copy
@@ -431,7 +431,7 @@
 def test_time_outs_and_windows_that_operators_set_stand_instead_of_what_was_learned() -> None:
     dock = Dock(slots=20)
     dock.listed("north/1", "south/1")
-    dock.routes["north/1"].time_outs = {SORTS["once-only"]: 1.5, SORTS["redeliverable"]: 4.5}
+    dock.routes["north/1"].timeouts = {SORTS["once-only"]: 1.5, SORTS["redeliverable"]: 4.5}
     dock.routes["south/1"].window, dock.destinations["south"].window = 2, 3
     dock.mail("p1", "once-only")
     dock.turn()
@@ -450,13 +450,13 @@
 def test_mails_keep_the_connects_the_wait_and_the_importance_set_for_them() -> None:
     dock = Dock()
     dock.listed("north/1", "north/2")
-    few = face.Terms(1.0, 1, 0.5, 1, 1.0)
+    few = interface.Terms(1.0, 1, 0.5, 1, 1.0)
     dock.mail("m1", "redeliverable", terms=few)
     dock.turn()
     dock.end("m1", "error")
     dock.turn()
     dock.mail("plain", "redeliverable")
-    dock.mail("dear", "redeliverable", terms=face.Terms(9.0, 4, 3.0, 1, 1.0), to="south")
+    dock.mail("dear", "redeliverable", terms=interface.Terms(9.0, 4, 3.0, 1, 1.0), to="south")
     dock.listed("south/1")
     dock.turn()
     assert dock.same_as("terms-of-mails")
@@ -464,8 +464,8 @@
 
 def test_a_second_copy_goes_over_another_route_and_the_slower_one_is_called_off() -> None:
     """Only where copies are allowed, never for what may not run twice or keeps an order."""
-    hedge = face.Terms(1.0, 4, 3.0, 2, 0.5)
-    dock = Dock(may_copy=True, slots=20)
+    hedge = interface.Terms(1.0, 4, 3.0, 2, 0.5)
+    dock = Dock(may_hedge=True, slots=20)
     dock.listed("north/1", "north/2")
     for name, sort in (("m1", "redeliverable"), ("c1", "once-only"), ("o1", "in-order")):
         dock.mail(name, sort, key="k" if sort == "in-order" else None, terms=hedge)
@@ -483,12 +483,12 @@
 
 
 def test_a_copy_that_fails_leaves_the_other_one_out_and_both_failing_tries_anew() -> None:
-    dock = Dock(may_copy=True, slots=20)
+    dock = Dock(may_hedge=True, slots=20)
     dock.listed("north/1", "north/2")
     dock.mail("m1", "redeliverable")
     dock.turn()
     dock.end("m1", "served")
-    dock.mail("m2", "redeliverable", terms=face.Terms(1.0, 4, 3.0, 2, 0.5))
+    dock.mail("m2", "redeliverable", terms=interface.Terms(1.0, 4, 3.0, 2, 0.5))
     dock.turn()
     first = dock.out["m2"]
     dock.after(0.6)
@@ -503,12 +503,12 @@
 
 def test_a_copy_that_is_out_while_the_window_ends_is_waited_for_and_nothing_more_goes() -> None:
     """The window counts from the first attempt; a third one after it would be a second effect."""
-    dock = Dock(may_copy=True, slots=20)
+    dock = Dock(may_hedge=True, slots=20)
     dock.listed("north/1", "north/2", "north/3")
     dock.mail("m1", "tagged")
     dock.turn()
     dock.end("m1", "served")
-    dock.mail("m2", "tagged", terms=face.Terms(1.0, 4, 3.0, 2, 5.5))
+    dock.mail("m2", "tagged", terms=interface.Terms(1.0, 4, 3.0, 2, 5.5))
     dock.turn()
     first = dock.out["m2"]
     dock.after(5.6)
@@ -530,10 +530,10 @@
         dock.mail("m1", "redeliverable")
         dock.turn()
         attempt = dock.out["m1"]
-        assert dock.control.may_begin(dock.now, attempt)
+        assert dock.control.may_start(dock.now, attempt)
         dock.listed("north/1", state="draining")
-        assert dock.control.may_begin(dock.now + 0.4, attempt) is may
-        assert not dock.control.may_begin(dock.now + 0.6, attempt)
+        assert dock.control.may_start(dock.now + 0.4, attempt) is may
+        assert not dock.control.may_start(dock.now + 0.6, attempt)
 
 
 def test_mails_that_are_over_leave_the_list_of_lifetimes() -> None:
@@ -544,7 +544,7 @@
         dock.mail(f"m{number}", "redeliverable")
         dock.turn()
         dock.end(f"m{number}", "served", report=(1.0, 0.0))
-    assert len(dock.control.ends) <= 64 + 2 and not dock.control.held
+    assert len(dock.control.ends) <= 64 + 2 and not dock.control.pending_count
 
 
 def test_a_route_whose_rate_is_not_known_starts_as_the_equal_of_one_that_told_its_own() -> None:
@@ -564,14 +564,14 @@
 
 def test_a_second_copy_counts_as_a_connect() -> None:
     """A mail on its last attempt was given one more than it may have."""
-    dock = Dock(may_copy=True, slots=20)
+    dock = Dock(may_hedge=True, slots=20)
     dock.listed("north/1", "north/2")
     for number in range(6):  # the window grows, and is halved by the error below
         dock.mail(f"m{number}", "redeliverable")
         dock.turn()
         dock.end(f"m{number}", "served")
         dock.now += 0.1
-    dock.mail("m", "redeliverable", terms=face.Terms(1.0, 2, 3.0, 2, 0.2))
+    dock.mail("m", "redeliverable", terms=interface.Terms(1.0, 2, 3.0, 2, 0.2))
     dock.turn()
     dock.end("m", "error")
     dock.turn()
@@ -600,10 +600,10 @@
 def test_news_of_one_destination_walk_the_routes_of_no_other() -> None:
     dock = Dock(instances=9)
     dock.listed(*(f"north/{place}" for place in range(3)), "south/1")
-    south = dock.routes["south/1"].notes.line
-    south.lanes = None  # whoever counts or walks them fails
+    south = dock.routes["south/1"].policy_state.destination_state
+    south.route_states = None  # whoever counts or walks them fails
     dock.listed("north/1", state="draining")
-    assert dock.routes["north/1"].notes.drained == dock.now
+    assert dock.routes["north/1"].policy_state.drained_at == dock.now
     dock.listed("north/3", "east/1")
     dock.listed("north/0", "north/0", state="removed")
     dock.listed("north/1")  # back
@@ -613,8 +613,8 @@
 def test_whole_news_forget_what_they_do_not_name() -> None:
     dock = Dock(instances=9)
     dock.listed("north/1", "north/2", "south/1")
-    dock.routes["north/2"].listed = dock.routes["south/1"].listed = face.Listed.REMOVED
-    dock.control.news(dock.now, [dock.routes["north/1"]], True)
+    dock.routes["north/2"].listed_state = dock.routes["south/1"].listed_state = interface.ListedState.REMOVED
+    dock.control.list_updated(dock.now, [dock.routes["north/1"]], True)
     assert dock.control.known == 1
-    assert [len(line.lanes) for line in dock.control.lines.values()] == [1, 0]
-    assert dock.routes["south/1"].notes.drained == dock.now
+    assert [len(line.route_states) for line in dock.control.destination_states.values()] == [1, 0]
+    assert dock.routes["south/1"].policy_state.drained_at == dock.now
--- a/tests/test_controller_stream.py
+++ b/tests/test_controller_stream.py
@@ -11,6 +11,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
+from laureldock.delivery_settings import ListedEndpoint
 from laureldock.replication import messages
 from laureldock.replication.configuration_store import ConfigurationStore, KeptConfiguration
 from laureldock.replication.messages import NO_POSITION, InForce, Message, Refused, Subscribe
@@ -19,7 +20,6 @@
 from laureldock.setup.changes import Change
 from laureldock.setup.faults import Fault
 from laureldock.sources.controlled import MAX_WAITING_FRAMES, Controlled, ControllerStream
-from laureldock.tariff import Entry
 
 
 class Transport(StringTransport):
@@ -260,7 +260,7 @@
     def guard(self, call: Any, *args: Any) -> Any:
         return call(*args)
 
-    def news(self, hosts: list[tuple[Entry, str]], whole: bool) -> None:
+    def news(self, hosts: list[tuple[ListedEndpoint, str]], whole: bool) -> None:
         self.told.append((len(hosts), whole))
 
 
--- a/tests/test_crossing_exit.py
+++ b/tests/test_crossing_exit.py
@@ -135,9 +135,9 @@
     if step in ("store written", "+OK written"):  # untried then, and tried
         assert calls
     # The key is free for the next once it has rested for a call that the kill, or a time-out, has broken.
-    rested = time.monotonic() + shore.core.tariff.key_rest + 0.1
-    while shore.core.control.keys:
-        assert time.monotonic() < rested, shore.core.control.keys
+    rested = time.monotonic() + shore.core.tariff.key_cooldown_time + 0.1
+    while shore.core.control.key_queues:
+        assert time.monotonic() < rested, shore.core.control.key_queues
         shore.step(0.002)
         shore.core.turn()  # as any event brings
 
@@ -483,4 +483,4 @@
     shore.ready()
     shore.until(lambda: not shore.core.store.owed)
     assert [json.loads(line)["message"] for line in shore.platform.notices] == ["a"]
-    assert not shore.core.control.keys
+    assert not shore.core.control.key_queues
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -17,7 +17,7 @@
 from msgspec.structs import replace
 from shore import Platform, Shore
 
-from laureldock.interface import Listed
+from laureldock.interface import ListedState
 from laureldock.setup.units import Address
 from laureldock.sources.platform import read
 
@@ -96,7 +96,7 @@
     quay.lines.clear()
     agent = Agent(quay, list(troubles))
     route = quay.dispatcher.book.routes["r1"]
-    while route.listed is Listed.UP:
+    while route.listed_state is ListedState.UP:
         assert quay.now < 100 + TOLD, quay.lines
         quay.after(0.05)
         agent.look()
@@ -125,7 +125,7 @@
     shore.spend(0.3)
     shore.platform.lists = True
     route = shore.core.book.routes["r1"]
-    shore.until(lambda: route.listed is Listed.DRAINING)
+    shore.until(lambda: route.listed_state is ListedState.DRAINING)
     assert time.monotonic() - began < TOLD
     assert watch.pull() is not None and watch.ended  # the silent connection is not kept
 
@@ -138,7 +138,7 @@
         watch.send(bytes([byte]))
         shore.step()
     route = shore.core.book.routes["r1"]
-    shore.until(lambda: route.listed is Listed.DRAINING)
+    shore.until(lambda: route.listed_state is ListedState.DRAINING)
     assert shore.core.counters["list failures"] == 0
 
 
@@ -150,13 +150,13 @@
     route = shore.core.book.routes["r1"]
     asks = len(shore.platform.asks)
     while len(shore.platform.asks) == asks:
-        assert time.monotonic() - began < TOLD and route.listed is Listed.UP
+        assert time.monotonic() - began < TOLD and route.listed_state is ListedState.UP
         if not watch.ended:
             watch.send(GARBAGE)
             watch.pull()
         shore.step(0.01)
     shore.platform.lists = True
-    shore.until(lambda: route.listed is Listed.DRAINING)
+    shore.until(lambda: route.listed_state is ListedState.DRAINING)
     assert time.monotonic() - began < TOLD
 
 
@@ -183,7 +183,7 @@
     failures = shore.core.counters["list failures"]
     shore.until(lambda: shore.core.counters["list failures"] >= failures + 3)
     assert 0.3 < time.monotonic() - began < 3.0
-    assert shore.core.book.routes["r1"].listed is Listed.UP and shore.core.ready
+    assert shore.core.book.routes["r1"].listed_state is ListedState.UP and shore.core.ready
     if how == "refused":
         shore.platform.door.close()
         shore.platform.door = socket.create_server((host, port))
@@ -194,7 +194,7 @@
         door.listen(64)
         del shore.platform.accept
     shore.platform.lists, back = True, time.monotonic()
-    shore.until(lambda: shore.core.book.routes["r1"].listed is Listed.DRAINING)
+    shore.until(lambda: shore.core.book.routes["r1"].listed_state is ListedState.DRAINING)
     assert time.monotonic() - back < 2.0
 
 
@@ -213,7 +213,7 @@
         shore.platform = new
         shore.until(lambda: any("wait_ms=2" in query for _, query, _ in new.asks))
         assert "after" not in new.asks[0][1]  # its versions are its own
-        assert shore.core.book.routes["r1"].listed is Listed.UP
+        assert shore.core.book.routes["r1"].listed_state is ListedState.UP
     finally:
         shore.platform = old
         new.close()
@@ -244,15 +244,15 @@
     calls: list[Callable[[], None]] = []
     hold = shore.core.may_begin
 
-    def asked(attempt: object, message: object) -> bool:
+    def asked(attempt: object, held: object) -> bool:
         """The last look before the call's first byte: the list is read there, or right after it."""
         shore.core.may_begin = hold  # type: ignore[method-assign]
         shore.announce("Terminating", seq=2)
         news = read(shore.platform.hosts)[2]
         if first == "drain":
             shore.core.news(news, True)
-            return hold(attempt, message)  # type: ignore[arg-type]
-        may = hold(attempt, message)  # type: ignore[arg-type]
+            return hold(attempt, held)  # type: ignore[arg-type]
+        may = hold(attempt, held)  # type: ignore[arg-type]
         calls.append(lambda: shore.core.news(news, True))
         return may
 
--- a/tests/test_crossing_room.py
+++ b/tests/test_crossing_room.py
@@ -18,7 +18,7 @@
 from test_process import Platform, Process
 from test_process import platform as platform  # a fixture
 
-from laureldock.interface import Listed
+from laureldock.interface import ListedState
 from laureldock.sockets.reactor import can_open
 
 OK, PONG = b"+OK\r\n", b"+PONG\r\n"
@@ -54,7 +54,7 @@
     shore.platform.lists, back = True, time.monotonic()
     shore.until(lambda: "r9" in shore.core.book.routes)
     assert time.monotonic() - back < 1.0
-    assert shore.core.book.routes["r9"].listed is Listed.DRAINING
+    assert shore.core.book.routes["r9"].listed_state is ListedState.DRAINING
     peer = connected(shore)
     shore.until(lambda: peer.pull() == PONG)
     peer.got = b""
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,16 +9,16 @@
 import pytest
 from dock import Quay
 
-from laureldock.control import Stage
 from laureldock.core.invariants import Invariant
 from laureldock.core.peer_view import PeerView
+from laureldock.delivery_policy import MessageStage
+from laureldock.delivery_state import KeyQueue
 from laureldock.fronts.resp import CloseReason
-from laureldock.records import Turns
 
 
 def allow_all(quay: Quay) -> None:
     """The guard of sending says yes, whatever it is asked."""
-    quay.dispatcher.control.may_begin = lambda *_: True  # type: ignore[method-assign]
+    quay.dispatcher.control.may_start = lambda *_: True  # type: ignore[method-assign]
 
 
 def no_guard(quay: Quay) -> None:
@@ -89,10 +89,10 @@
     """Every message of a key is queued at once, and has its turn whenever it is asked for."""
     control = quay.dispatcher.control
 
-    def wake(now: float, turns: Turns) -> None:
-        for case in turns.cases:
-            if case.stage is Stage.LINE and not case.queued:
-                control.queue(now, case)
+    def wake(now: float, turns: KeyQueue) -> None:
+        for case in turns.messages:
+            if case.stage is MessageStage.WAITING and not case.queued:
+                control.enqueue(now, case)
 
     control.wake = wake  # type: ignore[method-assign]
     control.has_turn = lambda *_: True  # type: ignore[method-assign]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -257,7 +257,7 @@
     quay.after(1.1)
     quay.answer("1", "200 OK")
     quay.answer("1", "200 OK")
-    assert not quay.dispatcher.store.owed and not quay.dispatcher.control.keys
+    assert not quay.dispatcher.store.owed and not quay.dispatcher.control.key_queues
     assert quay.same_as("net-owed-notices")
 
 
@@ -613,7 +613,7 @@
     figures = quay.dispatcher.operators_figures()
     assert figures["requests"]["charge"]["failed"] == 2 and figures["requests"]["fresh"]["served"] == 1
     assert figures["reloads_ok"] == 1
-    assert quay.dispatcher.book.tariff.most_attempts == 2
+    assert quay.dispatcher.book.settings.max_attempts == 2
     assert quay.assembly.plan.source.address == "127.0.0.9:10"
     assert quay.same_as("net-retold")
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -8,7 +8,7 @@
 from dock import Dock
 
 from benchmarks import ramp
-from laureldock import interface as face
+from laureldock import interface
 
 SEEDS = 3
 
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize(("ending", "cold"), [("full", False), ("error", True)])
 def test_a_route_that_refused_for_a_second_is_not_cold(ending: str, cold: bool) -> None:
     """Of many that meet it often: refused on a busy calm day, it held up the mails worth least."""
-    dock = Dock(instances=200, connect_time=1.5, most_attempts=9)
+    dock = Dock(instances=200, connect_timeout=1.5, max_attempts=9)
     dock.listed("north/1")
     ended, due = 0, dock.now
     for step in range(200):  # ten seconds, ten mails a second; two fail 0.8 s apart, the next is served
@@ -46,14 +46,14 @@
             dock.end(name, ending if ended < 3 else "served")
         if ended == 3:
             break
-    lane = dock.routes["north/1"].notes
+    lane = dock.routes["north/1"].policy_state
     assert any("served" in line for line in dock.lines)
     assert (dock.control.slow_start(dock.now, lane) < 1) == cold
 
 
 def served_once(instances: int, waiting: int) -> Dock:
     """A dispatcher that meets routes seldom; one of them was silent once, and is back with its first call."""
-    dock = Dock(instances=instances, connect_time=1.5, most_attempts=9)
+    dock = Dock(instances=instances, connect_timeout=1.5, max_attempts=9)
     dock.listed("north/1", rate=10.0)
     dock.listed(*(f"other/{place}" for place in range(20)))
     for name, ending in (("first", "served"), ("lost", "no connection")):
@@ -78,13 +78,13 @@
     """One failure and its rest make no run of failures; a mail alone needs no shaping, many do."""
     dock = served_once(instances, waiting)
     assert dock.control.seldom
-    assert (dock.control.slow_start(dock.now, dock.routes["north/1"].notes) < 1) == cold
+    assert (dock.control.slow_start(dock.now, dock.routes["north/1"].policy_state) < 1) == cold
 
 
 def test_of_many_one_alone_sends_what_waited_no_faster_than_the_rate_of_a_route_that_was_cold() -> None:
     """Once the route was warm all went at twenty a second from each that held some; it takes ten."""
     dock = served_once(20, 90)
-    lane = dock.routes["north/1"].notes
+    lane = dock.routes["north/1"].policy_state
     most = ended = 0
     for _ in range(round(30 / 0.05)):  # all calls are answered at once
         dock.after(0.05)
@@ -106,7 +106,7 @@
     rate, start, warm, fall, tip = 40.0, 0.3, 4.0, 1.5, 1.5
     dock = Dock(
         instances=1, slots=64, room=2000, start_capacity=start, tip_multiple=tip, fall_time=fall,
-        warm_time=warm, most_attempts=8,
+        warm_time=warm, max_attempts=8,
     )  # fmt: skip
     dock.listed("north/1", rate=rate)
     chance = random.Random(1)
@@ -121,13 +121,13 @@
             next_mail += chance.expovariate(load)
         up = not began + 3.0 <= dock.now < back
         for effect in dock.control.turn(dock.now):
-            if isinstance(effect, face.Attempt):
-                name = dock.names[effect.mail]
+            if isinstance(effect, interface.Attempt):
+                name = dock.names[effect.message]
                 dock.out[name] = effect
                 answers.append((dock.now + (0.06 if up else 0.0), name, up))
                 sent += [dock.now] if dock.now >= back else []
-            elif isinstance(effect, face.Timer) and effect.name == "sweep":
-                dock.control.timer(dock.now, "sweep")
+            elif isinstance(effect, interface.StartTimer) and effect.name == "sweep":
+                dock.control.timer_expired(dock.now, "sweep")
         for answer in [each for each in answers if each[0] <= dock.now]:
             answers.remove(answer)
             dock.end(answer[1], "served" if answer[2] else "no connection", took=0.06)
@@ -144,7 +144,7 @@
     """Its trials failed, but no run of failures had shut it: it passed for one that had only waited."""
     dock = Dock(
         instances=1, slots=64, room=2000, start_capacity=0.3, tip_multiple=1.5, fall_time=1.5, warm_time=4.0,
-        most_attempts=8,
+        max_attempts=8,
     )  # fmt: skip
     dock.listed("north/1", rate=40.0)
     for number in range(120):
--- a/tests/test_seldom.py
+++ b/tests/test_seldom.py
@@ -16,7 +16,7 @@
 class Fleet:
     def __init__(self, size: int) -> None:
         self.docks = [
-            Dock(instances=size, seed=number, connect_time=1.5, most_attempts=9) for number in range(size)
+            Dock(instances=size, seed=number, connect_timeout=1.5, max_attempts=9) for number in range(size)
         ]
         for dock in self.docks:
             dock.listed("north/1", rate=LIMIT)
@@ -183,12 +183,12 @@
         dock.after(0.3)
         for name in sorted(dock.out):
             dock.end(name, "error")
-    assert dock.control.excluded(dock.now) == 1
+    assert dock.control.excluded_routes(dock.now) == 1
     dock.listed("north/1", state="removed")
     del dock.routes["north/1"]
     dock.turn()
     dock.listed("north/1")
-    assert dock.control.excluded(dock.now) == 0
+    assert dock.control.excluded_routes(dock.now) == 0
     dock.turn()
     assert dock.out
 
@@ -206,9 +206,9 @@
     dock.listed("north/1", rate=2.0)
     dock.mail("m", "redeliverable")
     dock.after(3.5)  # overdue after three
-    assert dock.control.excluded(dock.now) == 1
+    assert dock.control.excluded_routes(dock.now) == 1
     dock.end("m", "served", took=3.5)
-    assert dock.control.excluded(dock.now) == 0
+    assert dock.control.excluded_routes(dock.now) == 0
     dock.mail("m2", "redeliverable")
     dock.turn()
     assert "m2" in dock.out
@@ -226,7 +226,7 @@
     dock.end("b", "time-out", took=0.1)
     dock.after(3.5)
     dock.end("c", "served", took=3.5)
-    assert dock.control.excluded(dock.now) == 1
+    assert dock.control.excluded_routes(dock.now) == 1
 
 
 def test_a_mail_that_no_other_route_of_its_building_may_get_is_waited_for() -> None:
