--- a/benchmarks/capacity/thin_load.py
+++ b/benchmarks/capacity/thin_load.py
@@ -7,7 +7,7 @@
 from benchmarks.capacity.rows import Basis, Row, Slopes, assumed
 from benchmarks.slopes import thin_load as measured
 
-DELIVERY_POLICY = "laureldock/control.py"
+DELIVERY_POLICY = "laureldock/delivery_policy.py"
 
 
 def rows(slopes: Slopes, size: FullSize) -> list[Row]:
@@ -102,7 +102,9 @@
         Row(
             "longest rest of a dispatcher after an outage",
             "s",
-            assumed(1.25 * backoff, "the law of `Control.apart`, for a destination of 20 calls a second"),
+            assumed(
+                1.25 * backoff, "the law of `DeliveryPolicy.apart`, for a destination of 20 calls a second"
+            ),
             None,
             DELIVERY_POLICY,
             "a mail that comes within it waits although the destination may be back",
--- a/benchmarks/change_cost.py
+++ b/benchmarks/change_cost.py
@@ -118,7 +118,7 @@
         plan = catalog.plan()
         started_at = time.process_time()
         fresh = Prepared.of(plan)
-        self.assembly.core.book.retell(plan, fresh.terms)
+        self.assembly.core.book.update_terms(plan, fresh.terms)
         self.assembly.listed.reread(fresh.listing)
         self.turn()
         return time.process_time() - started_at
--- a/benchmarks/ramp.py
+++ b/benchmarks/ramp.py
@@ -99,7 +99,7 @@
         "fall_time": FALL_TIME,
         "warm_time": WARM_TIME,
     }
-    dock = Dock(instances=size, seed=seed * 1000 + number, connect_time=1.5, most_attempts=9, **changes)
+    dock = Dock(instances=size, seed=seed * 1000 + number, connect_timeout=1.5, max_attempts=9, **changes)
     dock.listed("north/1", rate=RATE)
     dock.listed(*(f"other/{index}" for index in range(20)))
     return dock
