--- a/laureldock/assembly.py
+++ b/laureldock/assembly.py
@@ -175,7 +175,7 @@
     def lameduck(self, on: bool) -> None:
         self.core.set_lameduck(on)
         if self.fleet:
-            self.fleet.lameduck(on)
+            self.fleet.announce_lameduck(on)
 
     def start(self) -> None:
         """Listen for the fleet and for operators, and begin. OSError: one of them lastingly cannot listen."""
@@ -200,7 +200,7 @@
     def stop(self) -> Deferred[None]:
         done: Deferred[None] = Deferred()
         if self.fleet:
-            self.fleet.lameduck(True)  # others hear at once, and that it left once it is through
+            self.fleet.announce_lameduck(True)  # others hear at once, and that it left once it is through
 
         def over() -> None:
             if self.fleet:
--- a/laureldock/fleet/dissemination.py
+++ b/laureldock/fleet/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination of records: gossip on datagrams of its own while there is any, and on all other datagrams."""
+"""Dissemination of records: piggybacked on all datagrams, and on gossip datagrams while any are queued."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from laureldock.fleet.state import ViewState
 
 GOSSIP_INTERVAL = 0.25  # periods between gossip rounds
-GOSSIP_FANOUT = 2  # members that each round goes to
+GOSSIP_FANOUT = 2  # members that each round is sent to
 
 
 class Dissemination:
-    """Keeps gossip rounds going as long as the queue holds records."""
+    """Runs gossip rounds as long as records are queued."""
 
     def __init__(self, state: ViewState, sender: DatagramSender) -> None:
         self._state, self._sender = state, sender
         self._round_scheduled = False
 
     def enqueue(self, now: float, record: MemberRecord) -> None:
-        """Have a record spread through the fleet."""
+        """Queue a record for gossip, and start gossip rounds if none are scheduled."""
         self._state.gossip_queue.enqueue(record)
         if not self._round_scheduled:
             self._round_scheduled = True
@@ -32,10 +32,10 @@
             self._state.schedule(now, GOSSIP_INTERVAL, self._gossip_round)
 
     def send_to_random(self, now: float, limit: int) -> None:
-        """Gossip to up to so many random members at once."""
+        """Send gossip to up to `limit` random members at once."""
         for member in self._state.random_members(limit):
             self._sender.send(
                 now,
                 member.record.address,
-                lambda header, room: messages.Gossip(header, self._sender.select_gossip(room)),
+                lambda header, max_bytes: messages.Gossip(header, self._sender.select_gossip(max_bytes)),
             )
--- a/laureldock/fleet/effects.py
+++ b/laureldock/fleet/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what a membership view asks its transport to do. The view itself does no I/O."""
+"""Effects: operations that a membership view asks its transport to carry out. The view does no I/O itself."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send one datagram to an address, host:port."""
+    """Send one datagram to an address (host:port)."""
 
     address: str
     data: bytes
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenStream:
-    """Open a stream to an address, send the view's `first_frame`, and pass what comes to `receive_frame`.
+    """Open a stream to an address, send the view's `first_frame`, pass received frames to `receive_frame`.
 
-    Each answer of `receive_frame` is sent back; the stream ends when it has none.
+    Each frame that `receive_frame` returns is sent; the stream is closed when it returns None.
     """
 
     address: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewEvent:
-    """Something that operators should see: a name and its fields, as they appear in the log."""
+    """An event for operators: its name and fields, as they appear in the log."""
 
     name: str
     fields: dict[str, Any]
--- a/laureldock/fleet/gossip_queue.py
+++ b/laureldock/fleet/gossip_queue.py
@@ -1,4 +1,4 @@
-"""The gossip queue: records still to be spread, each on a limited number of datagrams. No I/O."""
+"""The gossip queue: records to disseminate, each on a limited number of datagrams. No I/O."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from laureldock.fleet.messages import MemberRecord, encoded_size
 
-# Each member that heard a record sends it 4 log10(n + 1) times (memberlist's default), by which all n have it
-# with high probability; anti-entropy brings the rest.
+# Each member that receives a record transmits it 4 log10(n + 1) times (memberlist's default), which reaches
+# all n members with high probability; anti-entropy repairs the rest.
 RETRANSMIT_MULTIPLIER = 4
 
 
 class QueuedRecord(NamedTuple):
-    """A record to be spread; sorts by how often it was sent, then by age."""
+    """A record to disseminate; sorts by the number of transmissions, then by age."""
 
     transmissions: int
     serial: int
     record: MemberRecord
-    size: int  # bytes, encoded
+    size: int  # encoded size in bytes
 
 
 class GossipQueue:
-    """The latest record of each member that has news, the least sent first."""
+    """The latest queued record of each member; those with the fewest transmissions are sent first."""
 
     def __init__(self) -> None:
         self._queue: dict[str, QueuedRecord] = {}
@@ -34,19 +34,20 @@
         return len(self._queue)
 
     def enqueue(self, record: MemberRecord) -> None:
-        """Queue a record, in place of an older one of the same member."""
+        """Queue a record; it replaces a queued record of the same member."""
         self._queue[record.name] = QueuedRecord(0, next(self._serial), record, encoded_size(record))
 
     def remove(self, name: str) -> None:
-        """Drop what is queued of a member, if anything."""
+        """Remove the queued record of a member, if any."""
         self._queue.pop(name, None)
 
     def select(
         self, max_bytes: int, members: int, max_records: int, first: MemberRecord | None = None
     ) -> tuple[MemberRecord, ...]:
-        """Records for one datagram, counted as sent; `first` goes in any case, and is not counted.
+        """Return records for one datagram, and count their transmission.
 
-        `members` is how many are present: it sets how often a record is sent before it leaves the queue.
+        `first` is always included, and its transmission is not counted. `members` is the number of present
+        members; it determines how often a record is transmitted before it is removed from the queue.
         """
         selected = []
         if first is not None:
--- a/laureldock/fleet/local_member.py
+++ b/laureldock/fleet/local_member.py
@@ -1,4 +1,4 @@
-"""What this member says of itself: announcements and refutations. Nobody else raises its incarnation."""
+"""The local member's own record: announcements and refutations. Only it raises its own incarnation."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         return self._state.local.record
 
     def announce(self, now: float, state: int, lameduck: bool | None = None) -> None:
-        """A new incarnation with this state; `lameduck` stays as it is unless given."""
+        """Announce a state with a new incarnation; `lameduck` is unchanged unless given."""
         self._replace(
             now,
             structs.replace(
@@ -33,17 +33,17 @@
         )
 
     def refute(self, now: float, claimed: MemberRecord) -> None:
-        """Answer a false record of this member by a greater incarnation; a true one needs no answer."""
-        if answer := refutation(claimed, self.record):
+        """Refute a false record of this member by a greater incarnation; ignore one that is not false."""
+        if refuting_record := refutation(claimed, self.record):
             self._state.counters.refuted += 1
             self._state.local_health.worsen()
-            self._replace(now, answer)
+            self._replace(now, refuting_record)
 
     def set_generation(self, now: float, generation: int) -> None:
-        """Make this start a later one; to be followed by `announce`."""
+        """Set the generation of this start; the caller then calls `announce`."""
         self._state.members.put(now, structs.replace(self.record, generation=generation))
 
     def _replace(self, now: float, record: MemberRecord) -> None:
         self._state.members.put(now, record)
-        self._state.note_change(now)
+        self._state.record_change(now)
         self._dissemination.enqueue(now, record)
--- a/laureldock/fleet/members.py
+++ b/laureldock/fleet/members.py
@@ -1,4 +1,4 @@
-"""The members that a view knows, and digests that are equal where views are equal. No I/O, no clock."""
+"""The table of known members, and digests that are equal where views are equal. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from laureldock.fleet.messages import ALIVE, SUSPECT, MemberRecord
 
 PRESENT_STATES = (ALIVE, SUSPECT)
-# That a stream compares: one differing member costs the records of a 64th of the fleet.
+# Digests compared by a stream: one differing member costs the transfer of the records of a 64th of the fleet.
 DIGEST_BUCKETS = 64
 
 
 def record_digest(record: MemberRecord) -> int:
-    """What a record adds to the digest: 0 for an absent member, so that forgetting it changes nothing."""
+    """Return what a record contributes to the digest: 0 if absent, so forgetting a member has no effect."""
     if record.state not in PRESENT_STATES:
         return 0
     text = f"{record.name}|{record.site}|{record.address}"
@@ -24,26 +24,26 @@
 
 
 def bucket_of(name: str) -> int:
-    """The digest bucket of a member."""
+    """Return the digest bucket of a member."""
     return xxh3_64_intdigest(name.encode()) % DIGEST_BUCKETS
 
 
 @dataclass(eq=False, slots=True)
 class Member:
-    """One known member: its record, and what this member observed of it. Times are seconds."""
+    """One known member: its record, and what the local member observed of it. Times are seconds."""
 
     record: MemberRecord
-    state_since: float  # when its record got the present state here
-    last_heard: float = float("-inf")  # when a message of it came
-    load: int = 0  # 0 to 255, as it last told
-    last_called: float = float("-inf")  # when it was last pinged while absent
-    confirmed_by: set[str] = field(default_factory=set)  # members that suspect it
-    bucket: int = 0  # of the digests
-    index: int = 0  # in `MemberTable.by_index`
+    state_changed_at: float  # when the present state was recorded in this view
+    last_heard_at: float = float("-inf")  # when the last message from it was received
+    load: int = 0  # 0 to 255, as it last reported
+    last_pinged_at: float = float("-inf")  # when it was last pinged while it was absent
+    confirmed_by: set[str] = field(default_factory=set)  # names of members that suspect it
+    bucket: int = 0  # index of its digest bucket
+    index: int = 0  # position in `MemberTable.by_index`
 
 
 class MemberTable:
-    """All known members by name, and the digests over those that are present."""
+    """All known members by name, with the digests and counts of those that are present."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -52,52 +52,52 @@
         self.digest = 0
         self.present_count = self.alive_count = 0
         self.absent: dict[str, Member] = {}  # members that failed or left
-        self.by_index: list[Member] = []  # in no particular order, for random selection
+        self.by_index: list[Member] = []  # in no particular order; for random selection
 
     def __getitem__(self, name: str) -> Member:
         return self.members[name]
 
     def get(self, name: str) -> Member | None:
-        """The member of that name, if it is known."""
+        """Return the member of a name; None if it is not known."""
         return self.members.get(name)
 
     def __iter__(self) -> Iterator[Member]:
         return iter(self.members.values())
 
     def is_full(self) -> bool:
-        """Whether no more members are taken on until some are forgotten; bounds memory."""
+        """Whether the table is at its capacity, which bounds memory; no new members are added then."""
         return len(self.members) >= self.capacity
 
     def put(self, now: float, record: MemberRecord) -> Member:
-        """Set a member's record, whatever was known; the caller has checked its precedence."""
+        """Set a member's record without a check of its precedence; that is up to the caller."""
         member = self.members.get(record.name)
         if member is None:
             member = Member(record, now, bucket=bucket_of(record.name), index=len(self.by_index))
             self.members[record.name] = member
             self.by_index.append(member)
         else:
-            self._account_for(member, -1)
+            self._update_totals(member, -1)
             if member.record.state != record.state or member.record.start_key != record.start_key:
-                member.state_since = now
+                member.state_changed_at = now
                 member.confirmed_by.clear()
             member.record = record
-        self._account_for(member, 1)
+        self._update_totals(member, 1)
         return member
 
     def remove(self, name: str) -> None:
-        """Forget a member. KeyError if it is not known."""
+        """Remove a member. Raises KeyError if it is not known."""
         member = self.members.pop(name)
-        self._account_for(member, -1)
+        self._update_totals(member, -1)
         self.absent.pop(name, None)
         last = self.by_index.pop()
         if last is not member:
             self.by_index[member.index], last.index = last, member.index
 
-    def _account_for(self, member: Member, sign: int) -> None:
-        """Add a member to digests and counts, or with sign -1 take it out."""
-        digest_part = record_digest(member.record)
-        self.digests[member.bucket] ^= digest_part
-        self.digest ^= digest_part
+    def _update_totals(self, member: Member, sign: int) -> None:
+        """Add a member to the digests and counts; with sign -1 remove it from them."""
+        contribution = record_digest(member.record)
+        self.digests[member.bucket] ^= contribution
+        self.digest ^= contribution
         if member.record.state in PRESENT_STATES:
             self.present_count += sign
             self.alive_count += sign * (member.record.state == ALIVE)
--- a/laureldock/fleet/messages.py
+++ b/laureldock/fleet/messages.py
@@ -1,8 +1,8 @@
-"""Messages between members: records of members in datagrams, and in frames of a stream. No I/O.
+"""Messages between members: datagrams, and frames of a stream. No I/O.
 
-Encoded by msgspec as msgpack arrays without field names, behind two bytes of magic and one of version. A
-malformed message raises `MalformedMessageError` and costs its sender alone: every number has a bound, every
-text a length, every list a size.
+A message is two bytes of magic, one byte of version, and a msgpack array without field names, encoded by
+msgspec. Every number, text and list is bounded; a malformed message raises `MalformedMessageError`, and no
+other message is affected.
 """
 
 from __future__ import annotations
@@ -14,9 +14,10 @@
 
 MAGIC = b"ld"
 VERSION = 1
-# An Ethernet frame less headers, with room for a tunnel's: a fragmented datagram is lost with any fragment.
+# Fits an Ethernet frame with headers, including those of a tunnel: a fragmented datagram is lost if any
+# fragment is.
 MAX_DATAGRAM_BYTES = 1200
-# Room for 4,096 members in one bucket of a stream, by far more than any fleet has.
+# Enough for 4,096 members in one bucket of a stream, far more than any fleet has.
 MAX_FRAME_BYTES = 1 << 20
 MAX_FRAME_RECORDS = 8192
 
@@ -24,27 +25,27 @@
 Address = Annotated[str, Meta(pattern=r"^[!-~]{3,80}$")]  # host:port
 Site = Annotated[str, Meta(pattern=r"^[!-~]{0,32}$")]
 Unsigned32 = Annotated[int, Meta(ge=0, lt=1 << 32)]
-Unsigned62 = Annotated[int, Meta(ge=0, lt=1 << 62)]  # msgspec takes no larger bound
+Unsigned62 = Annotated[int, Meta(ge=0, lt=1 << 62)]  # msgspec supports no larger bound
 StateCode = Annotated[int, Meta(ge=0, le=3)]
 
 ALIVE, SUSPECT, FAILED, LEFT = range(4)
 STATE_NAMES = ("alive", "suspect", "failed", "left")
 
 StartKey = tuple[int, int]
-"""Generation and boot identifier of one start of a member: a later start has a greater key."""
+"""Generation and boot identifier of one start of a member; a later start has a greater key."""
 
 
 class MalformedMessageError(ValueError):
-    """What came in is no message of this version, or breaks a bound."""
+    """Received bytes are not a message of this version, or violate a bound."""
 
 
 class MemberRecord(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What is known of one member.
+    """The state of one member, as gossiped.
 
-    `generation` is of its start: greater than that of any earlier start of the same name; `boot_id` tells
-    two starts apart that claim the same one. `incarnation` counts what the member said of itself since its
-    start, so that an older record never wins. `suspected_by` names a member that suspects it, where its state
-    is suspect.
+    `generation` identifies its start, and is greater than that of any earlier start of the same name;
+    `boot_id` distinguishes two starts that claim the same generation. `incarnation` counts the member's own
+    announcements since its start, so that an older record never supersedes a newer one. `suspected_by` names
+    a member that suspects it, if its state is suspect.
     """
 
     name: Name
@@ -63,7 +64,7 @@
 
 
 class SiteReachability(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Probes of a site's members within the last ten periods: how many there were, how many were answered."""
+    """Probes of a site's members within the last ten periods: the number sent and the number acknowledged."""
 
     site: Site
     calls: Annotated[int, Meta(ge=0, le=255)]
@@ -71,7 +72,7 @@
 
 
 class MessageHeader(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """In each message: who sends it, in which fleet, and what changes too often for the sender's record."""
+    """Header of each message: sender, fleet, and values that change too often for the sender's record."""
 
     fleet: Name
     sender: Name
@@ -88,7 +89,7 @@
 
 
 class Ping(Struct, tag=1, tag_field="t", array_like=True, frozen=True):
-    """A direct probe; answered by an `Ack` of the same sequence number."""
+    """A direct probe; the target responds with an `Ack` of the same sequence number."""
 
     header: MessageHeader
     sequence: Unsigned32
@@ -97,7 +98,7 @@
 
 
 class Ack(Struct, tag=2, tag_field="t", array_like=True, frozen=True):
-    """Answers a `Ping`, or a `PingRequest` whose target answered."""
+    """Acknowledges a `Ping`, or a `PingRequest` whose target acknowledged in time."""
 
     header: MessageHeader
     sequence: Unsigned32
@@ -105,7 +106,7 @@
 
 
 class PingRequest(Struct, tag=3, tag_field="t", array_like=True, frozen=True):
-    """Asks a member to ping another; answered by an `Ack`, or by a `Nack` where none came in time."""
+    """Indirect probe: asks a member to ping another; the response is an `Ack`, or a `Nack` on a timeout."""
 
     header: MessageHeader
     sequence: Unsigned32
@@ -115,7 +116,7 @@
 
 
 class Nack(Struct, tag=4, tag_field="t", array_like=True, frozen=True):
-    """Answers a `PingRequest` whose target did not answer (Lifeguard)."""
+    """Response to a `PingRequest` whose target did not acknowledge in time (Lifeguard)."""
 
     header: MessageHeader
     sequence: Unsigned32
@@ -123,21 +124,21 @@
 
 
 class Gossip(Struct, tag=5, tag_field="t", array_like=True, frozen=True):
-    """Records alone; answered by nothing."""
+    """Records alone; there is no response."""
 
     header: MessageHeader
     records: Annotated[tuple[MemberRecord, ...], Meta(max_length=64)] = ()
 
 
 class SyncDigests(Struct, tag=6, tag_field="t", array_like=True, frozen=True):
-    """The first frame of a stream: the digest of each bucket of members."""
+    """First frame of a stream: the digest of each bucket of members."""
 
     header: MessageHeader
     buckets: Annotated[tuple[Unsigned62, ...], Meta(min_length=64, max_length=64)]
 
 
 class SyncDifference(Struct, tag=7, tag_field="t", array_like=True, frozen=True):
-    """The second frame: which buckets differ, and the records of the answering side in them."""
+    """Second frame: which buckets differ, and the responder's records in them."""
 
     header: MessageHeader
     buckets: Annotated[tuple[Annotated[int, Meta(ge=0, lt=64)], ...], Meta(max_length=64)]
@@ -145,7 +146,7 @@
 
 
 class SyncCompletion(Struct, tag=8, tag_field="t", array_like=True, frozen=True):
-    """The last frame: the records in those buckets of the side that opened the stream."""
+    """Last frame: the initiator's records in the same buckets."""
 
     header: MessageHeader
     records: Annotated[tuple[MemberRecord, ...], Meta(max_length=MAX_FRAME_RECORDS)]
@@ -161,28 +162,31 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message as it is sent."""
+    """Encode a message, with magic and version."""
     return MAGIC + bytes([VERSION]) + _encoder.encode(message)
 
 
 def encoded_size(record: MemberRecord) -> int:
-    """Bytes that a record takes within a message."""
+    """Return the number of bytes that a record takes within a message."""
     return len(_encoder.encode(record))
 
 
 def strip_envelope(data: bytes, max_bytes: int) -> bytes:
-    """The payload behind magic and version. MalformedMessageError: these are wrong, or data is too long."""
+    """Return the payload after magic and version.
+
+    Raises MalformedMessageError if these are wrong or the data is too long.
+    """
     if len(data) > max_bytes:
-        raise MalformedMessageError("too long")
+        raise MalformedMessageError("message too long")
     if data[:2] != MAGIC:
-        raise MalformedMessageError("no word")
+        raise MalformedMessageError("wrong magic bytes")
     if len(data) < 4 or data[2] != VERSION:
         raise MalformedMessageError("unknown version")
     return data[3:]
 
 
 def decode_datagram(data: bytes) -> Datagram:
-    """A datagram that came in. MalformedMessageError."""
+    """Decode a received datagram. Raises MalformedMessageError."""
     try:
         return _datagrams.decode(strip_envelope(data, MAX_DATAGRAM_BYTES))
     except (msgspec.DecodeError, RecursionError) as error:
@@ -190,7 +194,7 @@
 
 
 def decode_frame(data: bytes) -> Frame:
-    """A frame of a stream that came in. MalformedMessageError."""
+    """Decode a received frame of a stream. Raises MalformedMessageError."""
     try:
         return _frames.decode(strip_envelope(data, MAX_FRAME_BYTES))
     except (msgspec.DecodeError, RecursionError) as error:
--- a/laureldock/fleet/precedence.py
+++ b/laureldock/fleet/precedence.py
@@ -1,12 +1,12 @@
-"""Precedence of records: which of two records of one member is the later knowledge.
+"""Precedence of records: which of two records of one member is newer.
 
-The precedence is all that keeps views from going back. It is a table, and the model check in
-`tests/test_fleet_model.py` walks every order in which records can arrive.
+The precedence alone keeps a view from returning to an older state. It is a table, and the model check in
+`tests/test_fleet_model.py` explores every order in which records can arrive.
 
-A later start of a member supersedes an earlier one whatever it says. Within one start, `PRECEDENCE` tells
-which incarnation a claimed record needs. Only the member itself raises its incarnation, so an older record
-never wins, and nobody is revived by what was said before it failed. LEFT is the last record of a start: by
-the member itself or, of one that failed, by its operators.
+A record of a later start of a member supersedes any record of an earlier one. Within one start, `PRECEDENCE`
+states which incarnation a claimed record needs. Only the member itself raises its incarnation, so an older
+record never wins, and a record from before a failure cannot revive a member. LEFT is the last record of a
+start: the member announces it itself or, for a member that failed, its operators do.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     NEVER = auto()  # no incarnation is enough
 
 
-# By the claimed state and the known one.
+# By the claimed state and the known state.
 PRECEDENCE = {
     (ALIVE, ALIVE): Needs.GREATER,
     (ALIVE, SUSPECT): Needs.GREATER,
@@ -45,7 +45,7 @@
     (LEFT, FAILED): Needs.NOT_LESS,
     (LEFT, LEFT): Needs.NEVER,
 }
-# Events of a view, by the state known before (None: not known) and the one that superseded it.
+# Events of a view, by the state known before (None: not known) and the state that superseded it.
 TRANSITION_EVENTS = {
     (None, ALIVE): "joined",
     (None, SUSPECT): "joined",
@@ -64,7 +64,7 @@
 
 
 def supersedes(claimed: MemberRecord, known: MemberRecord | None) -> bool:
-    """Whether a claimed record takes the place of the known one."""
+    """Whether a claimed record replaces the known one."""
     if known is None:
         return True
     if claimed.start_key != known.start_key:
@@ -79,14 +79,14 @@
 
 
 def refutation(claimed: MemberRecord, own: MemberRecord) -> MemberRecord | None:
-    """A member's own next record against a false one of the same start; None where nothing is to refute."""
+    """Return a member's record that refutes a false one of the same start; None if none needs refuting."""
     if claimed.start_key != own.start_key or claimed.state == ALIVE or claimed.incarnation < own.incarnation:
         return None
     return structs.replace(own, incarnation=claimed.incarnation + 1, state=ALIVE)
 
 
 def transition_event(record: MemberRecord, known: MemberRecord | None) -> str:
-    """The event that operators are shown when a record superseded the known one; "" for none."""
+    """Return the name of the event for a record that superseded the known one; "" for none."""
     if known is None:
         return TRANSITION_EVENTS.get((None, record.state), "")
     if known.start_key != record.start_key:
--- a/laureldock/fleet/probe_round.py
+++ b/laureldock/fleet/probe_round.py
@@ -1,7 +1,7 @@
-"""The order in which members are probed: all present ones in a round, before any of them twice.
+"""The order in which members are probed: each present member once per round.
 
-Source: Das, Gupta, Motivala, "SWIM" (DSN 2002), section 4.3: a round is shuffled, and who joins within it is
-put at a random place, so that a failure is found in the same time whenever the member joined.
+Source: Das, Gupta, Motivala, "SWIM" (DSN 2002), section 4.3: a round is shuffled, and a member that joins
+during it is inserted at a random position, so that the detection time does not depend on when it joined.
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 
 
 class ProbeRound:
-    """Names of members that are still to be probed in the present round."""
+    """Names of the members that are still to be probed in the current round."""
 
     def __init__(self, random: SeededRandom) -> None:
         self._random = random
-        self._names: list[str] = []  # the last one is next
-        self._waiting: set[str] = set()  # the same names
+        self._queue: list[str] = []  # the last one is probed next
+        self._remaining_names: set[str] = set()  # the same names, for membership tests
 
     def begin(self, names: list[str]) -> None:
-        """A new round of these."""
-        self._names = self._random.shuffled(names)
-        self._waiting = set(names)
+        """Start a new round with these names."""
+        self._queue = self._random.shuffled(names)
+        self._remaining_names = set(names)
 
     def add(self, name: str) -> None:
-        """A member that became present; the next round has it anyway where none is under way."""
-        if self._names and name not in self._waiting:
-            self._names.insert(int(self._random.fraction() * (len(self._names) + 1)), name)
-            self._waiting.add(name)
+        """Add a member that became present to the round in progress, if any; the next one has it anyway."""
+        if self._queue and name not in self._remaining_names:
+            self._queue.insert(int(self._random.fraction() * (len(self._queue) + 1)), name)
+            self._remaining_names.add(name)
 
     def take(self) -> str | None:
-        """The next name; None at the end of the round."""
-        if not self._names:
+        """Remove and return the next name; None at the end of the round."""
+        if not self._queue:
             return None
-        name = self._names.pop()
-        self._waiting.discard(name)
+        name = self._queue.pop()
+        self._remaining_names.discard(name)
         return name
--- a/laureldock/fleet/reconnection.py
+++ b/laureldock/fleet/reconnection.py
@@ -1,6 +1,6 @@
-"""Reconnection: failed members are pinged again, so that two sides of a cut find one another when it heals.
+"""Reconnection: failed members are pinged, so that two sides of a partition rejoin when it heals.
 
-All members together ping each failed one about once a period, however many there are.
+All members together ping each failed member about once per period, whatever their number.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 from laureldock.fleet.sender import DatagramSender
 from laureldock.fleet.state import ViewState
 
-MIN_INTERVAL = 2.0  # periods between two such pings of this member
-MAX_BACKOFF = 2.0  # times that, once the view has been stable for `BACKOFF_PERIODS`
+MIN_INTERVAL = 2.0  # periods between two such pings from this member
+MAX_BACKOFF = 2.0  # factor on the interval once the view has been stable for `BACKOFF_PERIODS`
 BACKOFF_PERIODS = 60.0
-ANSWER_TIMEOUT = 1.0  # periods
+ACK_TIMEOUT = 1.0  # periods
 
 
 class Reconnection:
-    """Pings members that failed, in rounds, and syncs with those that answer."""
+    """Pings failed members in rounds, and syncs with those that acknowledge."""
 
     def __init__(self, state: ViewState, sender: DatagramSender, anti_entropy: AntiEntropy) -> None:
         self._state, self._sender, self._anti_entropy = state, sender, anti_entropy
-        self._round: list[str] = []  # failed members still to be pinged in this round
-        self._pending: dict[int, str] = {}  # names, by sequence number
+        self._round: list[str] = []  # names of failed members still to be pinged in this round
+        self._pending: dict[int, str] = {}  # names of pinged members, by sequence number
 
     def start(self, now: float, delay: float) -> None:
-        """Begin after so many periods."""
+        """Start after `delay` periods."""
         self._state.schedule(now, delay, self._ping_next)
 
     def ping(self, now: float, member: Member) -> None:
-        """Ping a member that failed or left."""
-        member.last_called = now
+        """Ping a member that has failed or left."""
+        member.last_pinged_at = now
         sequence = next(self._state.counter)
         self._pending[sequence] = member.record.name
         self._sender.send_ping(now, member, sequence)
-        self._state.schedule(now, ANSWER_TIMEOUT, self._expire, sequence)
+        self._state.schedule(now, ACK_TIMEOUT, self._expire, sequence)
 
     def acknowledge(self, now: float, message: messages.Ack) -> None:
-        """A member answers again: what else does it know?"""
+        """Sync with a member that acknowledged, if it is present again; its view may differ."""
         name = self._pending.pop(message.sequence, "")
         member = self._state.members.get(name)
         if member and member.record.state in PRESENT_STATES:
             self._anti_entropy.sync_with(now, member.record.address)
 
     def abandon(self) -> None:
-        """Drop all pings that are under way."""
+        """Drop all pings in progress."""
         self._pending.clear()
 
     def _ping_next(self, now: float) -> None:
--- a/laureldock/fleet/sender.py
+++ b/laureldock/fleet/sender.py
@@ -1,4 +1,4 @@
-"""Building datagrams: a header of this member's own state, then gossip as far as there is room."""
+"""Building and sending datagrams: a header with the local member's state, then gossip in the space left."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from laureldock.fleet.messages import ALIVE, Datagram, MemberRecord, MessageHeader
 from laureldock.fleet.state import ViewState
 
-# All numbers of a datagram, and the name and address of a `PingRequest`, take less beside the header's texts.
+# Upper bound on all numbers of a datagram plus the name and address of a `PingRequest`, without the header's
+# texts.
 FIXED_FIELDS_BYTES = 260
-SITE_REPORT_BYTES = 8  # of one site's reachability in the header, beside the site's name
+SITE_REPORT_BYTES = 8  # of one site's reachability in the header, without the site's name
 MAX_GOSSIP_RECORDS = 64
 
 DatagramFactory = Callable[[MessageHeader, int], Datagram]
-"""Makes a datagram from a header and the bytes that are left for gossip."""
+"""Builds a datagram from a header and the number of bytes left for gossip."""
 
 
 class DatagramSender:
@@ -26,7 +27,7 @@
         self._state = state
 
     def header(self, now: float) -> MessageHeader:
-        """The header of whatever this member sends now."""
+        """Return the header of a message that is sent now."""
         state, record = self._state, self._state.local.record
         return MessageHeader(
             fleet=state.settings.fleet,
@@ -39,41 +40,45 @@
             reachability=state.reachability.own_report(now),
         )
 
-    def send(self, now: float, address: str, make: DatagramFactory) -> None:
-        """Send what `make` gives to an address."""
+    def send(self, now: float, address: str, build: DatagramFactory) -> None:
+        """Send the datagram that `build` returns to an address."""
         header = self.header(now)
-        data = messages.encode(make(header, gossip_room(header)))
+        data = messages.encode(build(header, max_gossip_bytes(header)))
         counters = self._state.counters
         counters.sent += 1
         counters.bytes_sent += len(data)
         self._state.effects.append(SendDatagram(address, data))
 
     def select_gossip(self, max_bytes: int, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
-        """Records to piggyback on a datagram; `first` goes in any case."""
+        """Return records to piggyback on a datagram; `first` is always included."""
         present = self._state.members.present_count
         return self._state.gossip_queue.select(max_bytes, present, MAX_GOSSIP_RECORDS, first)
 
     def send_ping(self, now: float, member: Member, sequence: int) -> None:
         """Ping a member.
 
-        One that is suspected or held to have failed is told so by the ping itself, so that it can refute at
-        once (Lifeguard's buddy system).
+        A ping to a suspect or failed member carries that record, so that it can refute at once (Lifeguard's
+        buddy system).
         """
         record = member.record
         first = record if record.state != ALIVE else None
 
-        def make(header: MessageHeader, room: int) -> messages.Ping:
-            return messages.Ping(header, sequence, record.name, self.select_gossip(room, first))
+        def build(header: MessageHeader, max_bytes: int) -> messages.Ping:
+            return messages.Ping(header, sequence, record.name, self.select_gossip(max_bytes, first))
 
-        self.send(now, record.address, make)
+        self.send(now, record.address, build)
 
     def send_ack(self, now: float, address: str, sequence: int) -> None:
-        """Answer a ping, or pass on the answer to one that was relayed."""
-        self.send(now, address, lambda header, room: messages.Ack(header, sequence, self.select_gossip(room)))
+        """Acknowledge a ping, or relay the ack of a ping that was sent on behalf of another member."""
+        self.send(
+            now,
+            address,
+            lambda header, max_bytes: messages.Ack(header, sequence, self.select_gossip(max_bytes)),
+        )
 
 
-def gossip_room(header: MessageHeader) -> int:
-    """Bytes left for gossip in a datagram with this header."""
+def max_gossip_bytes(header: MessageHeader) -> int:
+    """Return the number of bytes left for gossip in a datagram with this header."""
     texts = sum(len(each.site) + SITE_REPORT_BYTES for each in header.reachability)
     texts += len(header.fleet) + len(header.sender) + len(header.address)
     return messages.MAX_DATAGRAM_BYTES - FIXED_FIELDS_BYTES - texts
--- a/laureldock/fleet/settings.py
+++ b/laureldock/fleet/settings.py
@@ -1,4 +1,4 @@
-"""What a membership view is configured with, and whether it takes part in the fleet."""
+"""Settings of a membership view, and its status in the fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ViewStatus(Enum):
-    """Whether this member takes part in the fleet; operators are shown the values."""
+    """Whether the local member participates in the fleet; the values are shown to operators."""
 
     ACTIVE = "here"
     STEPPED_DOWN = "stepped down"
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewSettings:
-    """Identity of the local member and the parameters of its view; fixed for the life of a process.
+    """Identity of the local member and parameters of its view; fixed for the lifetime of a process.
 
     `address` is where other members reach this one, as host:port. `generation` is greater than that of any
-    earlier start of this name, as far as is known, and `boot_id` is drawn at random for this start. `period`
+    earlier start of this name, as far as is known, and `boot_id` is a random number of this start. `period`
     and `forget_after` are seconds. `max_members` bounds how many members are known at once.
     """
 
--- a/laureldock/fleet/simulated_network.py
+++ b/laureldock/fleet/simulated_network.py
@@ -1,4 +1,4 @@
-"""A simulated network between members of a fleet: losses, delays and cuts of all links or of single ones."""
+"""A simulated network between members of a fleet: loss, delay, duplication and cuts of its links."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True)
 class Link:
-    """From one member to another. Times are seconds, `loss` and `doubled` shares of all datagrams."""
+    """Impairments of one directed link; `loss` and `duplicated` are fractions of its datagrams."""
 
-    cuts: int = 0  # faults that cut it now
+    cuts: int = 0  # number of active faults that cut it
     loss: float = 0.0
-    doubled: float = 0.0
-    delay: float = 0.0  # at most, beside the network's own
+    duplicated: float = 0.0
+    delay: float = 0.0  # maximum additional delay in seconds
 
 
 @dataclass(slots=True)
 class SimulatedNetwork:
-    """What becomes of datagrams on all links, and of those on single links beside that."""
+    """Loss and delay (in seconds) on all links, and additional impairments of single links."""
 
     loss: float = 0.0
     min_delay: float = 0.001
@@ -28,10 +28,10 @@
     links: dict[Pair, Link] = field(default_factory=dict)
 
     def link(self, sender: str, receiver: str) -> Link:
-        """The link from one member to another, to be changed."""
+        """Return the link from one member to another, which the caller may change."""
         return self.links.setdefault((sender, receiver), Link())
 
     def is_cut(self, sender: str, receiver: str) -> bool:
-        """Whether nothing passes from one member to another now."""
+        """Whether the link from one member to another is cut."""
         link = self.links.get((sender, receiver))
         return link is not None and link.cuts > 0
--- a/laureldock/fleet/state.py
+++ b/laureldock/fleet/state.py
@@ -1,4 +1,4 @@
-"""State that the parts of a membership view share."""
+"""State shared by the parts of a membership view."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from laureldock.fleet.settings import ViewSettings, ViewStatus
 from laureldock.fleet.timers import TimerQueue
 
-SELECTION_ATTEMPTS = 8  # random draws for each member that is wanted
+SELECTION_ATTEMPTS = 8  # random draws per requested member
 
 
 @dataclass(eq=False, slots=True)
 class ViewCounters:
-    """Counts since the start; operators are shown the names."""
+    """Counts since the start; the names are shown to operators."""
 
     datagrams: int = 0
     refused: int = 0
@@ -35,7 +35,7 @@
 
 
 def accept_any(member: Member) -> bool:
-    """A filter that lets every member pass."""
+    """Filter that accepts every member."""
     return True
 
 
@@ -44,7 +44,7 @@
 
     def __init__(self, settings: ViewSettings, now: float) -> None:
         self.settings = settings
-        self.counter = count(1)  # serial numbers: of timers, of pings, of random draws
+        self.counter = count(1)  # serial numbers of timers, pings and random draws
         self.random = SeededRandom(settings.random_seed, settings.name, self.counter)
         self.timers = TimerQueue(self.counter)
         self.members = MemberTable(settings.max_members)
@@ -53,17 +53,17 @@
         self.reachability = ReachabilityTracker(settings.period)
         self.local_health = LocalHealth()
         self.counters = ViewCounters()
-        self.effects: list[Effect] = []  # since they were last taken
+        self.effects: list[Effect] = []  # not yet returned by `MembershipView.advance`
         self.status = ViewStatus.ACTIVE
-        self.load = 0  # of this dispatcher, 0 to 255
+        self.load = 0  # load of this dispatcher, 0 to 255
         self.version = 0  # counts changes of the view
-        self.last_change = now
-        self.last_heard = -inf  # when a datagram of any other member came
+        self.last_changed_at = now
+        self.last_heard_at = -inf  # when the last message from any other member was received
         self.local: Member = self.members.put(now, initial_record(settings))
 
     @property
     def period(self) -> float:
-        """Seconds between probes; every wait of the view scales with it."""
+        """Seconds between probes; all intervals and timeouts of the view scale with it."""
         return self.settings.period
 
     @property
@@ -71,31 +71,34 @@
         return self.status is ViewStatus.ACTIVE
 
     def schedule(self, now: float, periods: float, action: Callable[..., None], *arguments: object) -> None:
-        """Call `action` after so many periods."""
+        """Call `action` with the time and `arguments` after `periods` periods."""
         self.timers.schedule(now, periods * self.period, action, *arguments)
 
     def emit(self, name: str, **fields: object) -> None:
-        """Report an event to operators."""
+        """Emit an event for operators."""
         self.effects.append(ViewEvent(name, fields))
 
-    def count_refused(self, why: str) -> None:
-        """Count what came in and is not taken; operators are told of the first, and ever more seldom."""
+    def count_refused(self, reason: str) -> None:
+        """Count a refused message; the first emits an event, later ones with decreasing frequency."""
         self.counters.refused += 1
         so_far = self.counters.refused
         if so_far in (1, 10, 100, 1000) or so_far % 10000 == 0:
-            self.emit("refused", why=why, so_far=so_far)
+            self.emit("refused", why=reason, so_far=so_far)
 
-    def note_change(self, now: float) -> None:
-        """The view is another one now."""
+    def record_change(self, now: float) -> None:
+        """Record that the view has changed."""
         self.version += 1
-        self.last_change = now
+        self.last_changed_at = now
 
     def stable_for(self, now: float) -> float:
-        """Seconds since the view last changed."""
-        return now - self.last_change
+        """Return the seconds since the view last changed."""
+        return now - self.last_changed_at
 
     def random_members(self, limit: int, accepts: Callable[[Member], bool] = accept_any) -> list[Member]:
-        """Up to `limit` other members that are present and accepted; fewer where few are."""
+        """Select up to `limit` other members at random that are present and accepted by a filter.
+
+        May return fewer than exist, since the number of draws is bounded.
+        """
         selected: list[Member] = []
         candidates = self.members.by_index
         attempts = SELECTION_ATTEMPTS * limit if len(candidates) > 1 else 0
@@ -110,7 +113,7 @@
 
 
 def initial_record(settings: ViewSettings) -> MemberRecord:
-    """What a member says of itself when it starts."""
+    """Return the first record that a member announces of itself."""
     return MemberRecord(
         settings.name, settings.site, settings.address, settings.generation, settings.boot_id, 0, ALIVE
     )
--- a/laureldock/fleet/timers.py
+++ b/laureldock/fleet/timers.py
@@ -1,4 +1,4 @@
-"""A timer queue on a clock that is handed in: which calls are due next, in a reproducible order."""
+"""A timer queue with an external clock: scheduled calls in a reproducible order."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 TimerAction = Callable[..., None]
-"""Called with the current time and the arguments it was scheduled with."""
+"""Called with the current time and the arguments that it was scheduled with."""
 
 
 class Timer(NamedTuple):
@@ -21,7 +21,7 @@
 
 
 class TimerQueue:
-    """Scheduled calls, the earliest first. Times are seconds of the caller's clock."""
+    """Scheduled calls, earliest first. Times are seconds of the caller's clock."""
 
     def __init__(self, counter: Iterator[int]) -> None:
         self._counter = counter
@@ -40,12 +40,12 @@
         heapq.heappush(self._heap, Timer(now + delay, next(self._counter), action, arguments))
 
     def run_next(self, now: float) -> None:
-        """Remove the earliest timer and call its action. IndexError if there is none."""
+        """Remove the earliest timer and call its action. Raises IndexError if there is none."""
         timer = heapq.heappop(self._heap)
         timer.action(now, *timer.arguments)
 
     def postpone(self, action: TimerAction, seconds: float) -> None:
-        """Make all timers of one action due so much later."""
+        """Postpone all timers of an action by `seconds`."""
         self._heap = [
             timer._replace(due=timer.due + seconds) if timer.action == action else timer
             for timer in self._heap
--- a/laureldock/fleet/transport.py
+++ b/laureldock/fleet/transport.py
@@ -1,6 +1,6 @@
-"""The transport of a membership view: UDP and TCP at one port number, the clock, a file for the next start.
+"""The transport of a membership view: UDP and TCP on one port, the clock, and the saved state.
 
-Everything is sent from the listening address, so that a relay or a packet filter knows the sender by it.
+Everything is sent from the listening address, so that a relay or a packet filter can identify the sender.
 """
 
 from __future__ import annotations
@@ -27,42 +27,42 @@
 from laureldock.fleet.view import MembershipView
 from laureldock.setup.plan import Fleet
 
-# Streams that others have open here: each is a few frames, and what speaks no frames must end.
+# A stream takes only a few frames, so few are open at once; connections that send no frame time out.
 MAX_INBOUND_STREAMS = 16
-STREAM_TIMEOUT = 3.0  # seconds; a stream is a few round trips
-SAVE_INTERVAL = 10.0  # periods; what the next start would miss at most of who was there
-MAX_SAVED_ADDRESSES = 64  # enough that one of them lives
+STREAM_TIMEOUT = 3.0  # seconds without a frame; a stream takes a few round trips
+SAVE_INTERVAL = 10.0  # periods; a crash loses at most this much of the changes of the saved addresses
+MAX_SAVED_ADDRESSES = 64  # enough that one of them is probably reachable at the next start
 WARNING_EVENTS = ("name taken", "failed", "refused")  # logged as warnings
 
 
 class PersistentState:
-    """What outlives the process: its generation, and addresses to ask when all seeds are gone."""
+    """State saved for the next start: the generation, and member addresses to contact beside the seeds."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.generation = 0
         self.addresses: list[str] = []
         try:
-            on_event = json.loads(path.read_bytes())
-            self.generation = int(on_event["generation"])
-            self.addresses = [str(each) for each in on_event["addresses"]][:MAX_SAVED_ADDRESSES]
+            saved = json.loads(path.read_bytes())
+            self.generation = int(saved["generation"])
+            self.addresses = [str(each) for each in saved["addresses"]][:MAX_SAVED_ADDRESSES]
         except (OSError, ValueError, KeyError, TypeError):
-            pass  # a new folder, or a spoilt file: the clock and the fleet tell of an earlier start
+            pass  # a new directory or a corrupted file; the clock or the fleet yields a later generation
 
     def next_generation(self, wall_clock: float) -> int:
-        """The generation of this start: above the last one known here, at least the clock's milliseconds."""
+        """Return the generation of this start: above the saved one, and at least the clock's milliseconds."""
         self.generation = max(self.generation + 1, int(wall_clock * 1000))
         return self.generation
 
     def save(self, generation: int, addresses: list[str]) -> None:
-        """Write the file anew, atomically. OSError if that fails."""
+        """Replace the file atomically. Raises OSError."""
         self.generation, self.addresses = generation, addresses[:MAX_SAVED_ADDRESSES]
-        fresh = self.path.with_suffix(".new")
-        with fresh.open("w", encoding="utf-8") as file:
+        temporary_path = self.path.with_suffix(".new")
+        with temporary_path.open("w", encoding="utf-8") as file:
             json.dump({"generation": generation, "addresses": self.addresses}, file)
             file.flush()
             os.fsync(file.fileno())
-        fresh.rename(self.path)
+        temporary_path.rename(self.path)
 
 
 class DatagramEndpoint(DatagramProtocol):
@@ -80,17 +80,17 @@
 
 
 class StreamProtocol(Int32StringReceiver, TimeoutMixin):
-    """Either end of a stream; `opened`: this member opened it, and sends the first frame."""
+    """Either end of a stream; the initiator, the member that opened it, sends the first frame."""
 
     MAX_LENGTH = messages.MAX_FRAME_BYTES
     transport: Any
 
-    def __init__(self, fleet_transport: FleetTransport, opened: bool) -> None:
-        self.fleet_transport, self.opened = fleet_transport, opened
+    def __init__(self, fleet_transport: FleetTransport, is_initiator: bool) -> None:
+        self.fleet_transport, self.is_initiator = fleet_transport, is_initiator
 
     def connectionMade(self) -> None:  # noqa: N802
         self.setTimeout(STREAM_TIMEOUT)
-        if self.opened:
+        if self.is_initiator:
             self.sendString(self.fleet_transport.view.first_frame(self.fleet_transport.now()))
         else:
             self.fleet_transport.inbound_streams += 1
@@ -100,43 +100,43 @@
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
         self.resetTimeout()
         try:
-            answer = self.fleet_transport.view.receive_frame(self.fleet_transport.now(), string)
+            response = self.fleet_transport.view.receive_frame(self.fleet_transport.now(), string)
         except messages.MalformedMessageError:
             self.transport.abortConnection()
             return
-        if answer is None:
+        if response is None:
             self.transport.loseConnection()
         else:
-            self.sendString(answer)
+            self.sendString(response)
         self.fleet_transport.schedule_advance()
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        self.fleet_transport.view.count_refused("a frame too long")
+        self.fleet_transport.view.count_refused("frame too long")
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         self.setTimeout(None)
-        if not self.opened:
+        if not self.is_initiator:
             self.fleet_transport.inbound_streams -= 1
 
 
 class StreamFactory(ClientFactory):
-    """Builds the protocol of streams that others open here, or of one that this member opens."""
+    """Builds the protocol of inbound streams, or of a stream that this member opens."""
 
     noisy = False
 
-    def __init__(self, fleet_transport: FleetTransport, opened: bool) -> None:
-        self.fleet_transport, self.opened = fleet_transport, opened
+    def __init__(self, fleet_transport: FleetTransport, is_initiator: bool) -> None:
+        self.fleet_transport, self.is_initiator = fleet_transport, is_initiator
 
     def buildProtocol(self, addr: IAddress | None) -> StreamProtocol:  # noqa: N802
-        return StreamProtocol(self.fleet_transport, self.opened)
+        return StreamProtocol(self.fleet_transport, self.is_initiator)
 
 
 class FleetTransport:
     """Runs a membership view on a reactor.
 
-    `on_event` is called with the name and fields of each event. `load` gives how full this dispatcher is,
-    0 to 1.
+    `on_event` is called with the name and fields of each event. `load` returns the load of this dispatcher,
+    from 0 to 1.
     """
 
     def __init__(
@@ -156,7 +156,7 @@
         self.host, self.port = host, int(port)
         self.inbound_streams, self.next_due = 0, float("inf")
         self.timer: Any = None
-        self.advance_scheduled = self.dirty = False
+        self.advance_scheduled = self.needs_save = False
         self.view = MembershipView(
             ViewSettings(
                 fleet=settings.name,
@@ -176,22 +176,22 @@
         self.datagrams = DatagramEndpoint(self)
 
     def seed_addresses(self, seeds: list[Any]) -> tuple[str, ...]:
-        """Configured seeds, and addresses that the last start knew."""
-        mine = self.settings.advertise or self.settings.listen
+        """Return the configured seeds and the saved addresses, without this member's own."""
+        own_address = self.settings.advertise or self.settings.listen
         known = dict.fromkeys([*map(str, seeds), *self.persistent_state.addresses])
-        return tuple(each for each in known if each != mine)
+        return tuple(each for each in known if each != own_address)
 
     def now(self) -> float:
-        """Seconds of the reactor's clock."""
+        """Return the time of the reactor's clock in seconds."""
         return self.reactor.seconds()
 
     # Lifecycle
 
     def start(self) -> None:
-        """Listen, and begin to join. CannotListenError where nothing can listen there."""
+        """Listen, and start to join the fleet. Raises CannotListenError."""
         datagrams = self.reactor.listenUDP(self.port, self.datagrams, interface=self.host)
         try:
-            self.reactor.listenTCP(self.port, StreamFactory(self, opened=False), interface=self.host)
+            self.reactor.listenTCP(self.port, StreamFactory(self, is_initiator=False), interface=self.host)
         except CannotListenError:
             datagrams.stopListening()
             raise
@@ -200,41 +200,41 @@
         self.advance()
 
     def save_periodically(self) -> None:
-        """Save what changed, again and again while this member takes part."""
+        """Save changes at intervals while this member is active."""
         if self.view.status is ViewStatus.ACTIVE:
-            if self.dirty:
+            if self.needs_save:
                 self.save()
             self.reactor.callLater(SAVE_INTERVAL * self.settings.period, self.save_periodically)
 
     def save(self) -> None:
-        """Save for the next start; a fault is reported as an event."""
-        self.dirty = False
+        """Save the state for the next start; an error is reported as an event."""
+        self.needs_save = False
         others = [each.record.address for each in self.view.members() if each is not self.view.local]
         try:
-            # Present members, else those saved before: a start that reaches nobody must not lose them.
+            # Keep the saved addresses if no other member is known: a start that reaches none must keep them.
             addresses = others or self.persistent_state.addresses
             self.persistent_state.save(self.view.local.record.generation, addresses)
         except OSError as error:
             self.on_event("not kept", {"fault": str(error)})
 
     def leave(self) -> None:
-        """Tell the fleet that this member leaves."""
+        """Save the state, and announce that this member leaves."""
         if self.view.status is ViewStatus.ACTIVE:
             self.save()
             self.view.leave(self.now())
             self.advance()
 
-    def lameduck(self, on: bool) -> None:
-        """Tell the fleet that this member is being emptied, or takes clients again."""
-        self.view.set_lameduck(self.now(), on)
+    def announce_lameduck(self, enabled: bool) -> None:
+        """Announce that this member drains, or accepts clients again."""
+        self.view.set_lameduck(self.now(), enabled)
         self.schedule_advance()
 
     def set_seeds(self, settings: Fleet) -> None:
-        """Take over the seeds of a new configuration."""
+        """Use the seeds of a new configuration."""
         self.view.set_seeds(list(self.seed_addresses(settings.seeds)))
 
     def forget(self, name: str) -> bool:
-        """Hold a failed member to have left; False where no such member failed."""
+        """Declare that a failed member has left; returns False if no member of that name has failed."""
         forgotten = self.view.forget_failed(self.now(), name)
         self.schedule_advance()
         return forgotten
@@ -242,19 +242,19 @@
     # Time and effects
 
     def schedule_advance(self) -> None:
-        """Advance the view once all that has come in is read."""
+        """Advance the view in the next reactor iteration, after all pending input has been read."""
         if not self.advance_scheduled:
             self.advance_scheduled = True
             self.reactor.callLater(0, self.advance)
 
     def advance(self) -> None:
-        """Run what is due, carry out the effects, and set the timer for what is due next."""
+        """Run the timers that are due, carry out the effects, and schedule the next call."""
         self.advance_scheduled = False
         self.view.set_load(round(255 * min(1.0, self.load())))
         version = self.view.version
         for effect in self.view.advance(self.now()):
             self.execute(effect)
-        self.dirty = self.dirty or version != self.view.version
+        self.needs_save = self.needs_save or version != self.view.version
         if self.view.next_due != self.next_due or self.timer is None or not self.timer.active():
             self.next_due = self.view.next_due
             if self.timer is not None and self.timer.active():
@@ -263,28 +263,28 @@
                 self.timer = self.reactor.callLater(max(0.0, self.next_due - self.now()), self.advance)
 
     def execute(self, effect: Effect) -> None:
-        """Carry out one effect; failures to send or connect are as lost datagrams."""
+        """Carry out one effect; a failure to send or connect is treated as a lost datagram."""
         match effect:
             case SendDatagram(address=address, data=data):
                 host, _, port = address.rpartition(":")
-                # What cannot be sent counts as lost: its receiver is probed again.
+                # A datagram that cannot be sent counts as lost; the protocol tolerates loss.
                 with contextlib.suppress(OSError, ValueError, OverflowError):
                     self.datagrams.transport.write(data, (host, int(port)))
             case OpenStream(address=address):
                 host, _, port = address.rpartition(":")
                 if port.isdigit() and 0 < int(port) < 65536:
-                    opened = StreamFactory(self, opened=True)
+                    factory = StreamFactory(self, is_initiator=True)
                     self.reactor.connectTCP(
-                        host, int(port), opened, timeout=STREAM_TIMEOUT, bindAddress=(self.host, 0)
+                        host, int(port), factory, timeout=STREAM_TIMEOUT, bindAddress=(self.host, 0)
                     )
             case ViewEvent(name=name, fields=fields):
-                self.dirty = True
+                self.needs_save = True
                 self.on_event(name, fields)
 
     # Reporting
 
     def report(self) -> dict[str, Any]:
-        """The view as `GET /_fleet` shows it."""
+        """Return the view as `GET /_fleet` shows it."""
         view, now = self.view, self.now()
         return {
             "fleet": view.settings.fleet,
@@ -304,10 +304,10 @@
                     "incarnation": each.record.incarnation,
                     "lameduck": each.record.lameduck,
                     "load": round(each.load / 255, 3),
-                    "since_s": round(now - each.state_since, 3),
+                    "since_s": round(now - each.state_changed_at, 3),
                 }
                 for each in view.members()
             ],
-            "reach": view.reachability_shares(now),
+            "reach": view.reachability_fractions(now),
             "counts": asdict(view.counters),
         }
--- a/laureldock/fleet/view.py
+++ b/laureldock/fleet/view.py
@@ -1,10 +1,11 @@
-"""The view that one member has of its fleet: SWIM with suspicion, Lifeguard's local health, anti-entropy.
+"""A member's view of its fleet: SWIM with suspicion, Lifeguard's local health, and anti-entropy.
 
-Bytes in, effects out; no I/O, no clock of its own, and all randomness from a seed and a counter, so that
-thousands of views run on one clock set by hand. Why this and not another way: `docs/design/fleet-view.md`.
-Sources: Das, Gupta, Motivala, "SWIM" (DSN 2002); Dadgar, Phillips, Currey, "Lifeguard" (arXiv:1707.00788).
+The view takes received bytes and the time, and returns effects. It does no I/O, has no clock, and takes all
+randomness from a seed and a counter, so that thousands of views can run on one simulated clock.
+`docs/design/fleet-view.md` explains the choice of this protocol. Sources: Das, Gupta, Motivala, "SWIM" (DSN
+2002); Dadgar, Phillips, Currey, "Lifeguard" (arXiv:1707.00788).
 
-What two members may disagree on, and for how long, is said on the operators' page: nothing here is consensus.
+This is not consensus: the operators' documentation states on what two members may disagree, and for how long.
 """
 
 from __future__ import annotations
@@ -29,17 +30,19 @@
 from laureldock.fleet.settings import ViewSettings, ViewStatus
 from laureldock.fleet.state import ViewCounters, ViewState
 
-# Periods.
-STALL_THRESHOLD = 0.5  # a timer this late: the process stood still, and its timeouts say nothing of others
-SYNC_AFTER_STABLE = 2.0  # views that still differ after this are compared: gossip has gone round by then
-FORGET_INTERVAL = 10.0  # between looks for members that have been absent for long
-LEAVE_FANOUT = 8  # members that are told at once that this one leaves
+# In periods.
+STALL_THRESHOLD = (
+    0.5  # if a timer runs this late, the process was stalled, and its timeouts say nothing about others
+)
+SYNC_AFTER_STABLE = 2.0  # views that still differ are synced; gossip has reached all members by then
+FORGET_INTERVAL = 10.0  # between checks for members that have been absent for `forget_after`
+LEAVE_FANOUT = 8  # members to which a leave is sent at once
 
 
 class MembershipView:
-    """One member's view: its transport passes bytes and the time in, and carries out the effects.
+    """One member's view; its transport passes in bytes and the time, and carries out the effects.
 
-    All times are seconds of one clock, which the transport chooses.
+    All times are seconds of one clock, chosen by the transport.
     """
 
     def __init__(self, settings: ViewSettings, now: float) -> None:
@@ -60,7 +63,7 @@
         self._anti_entropy.start(now)
         state.schedule(now, FORGET_INTERVAL, self._forget_expired)
 
-    # What the view shows
+    # State
 
     @property
     def settings(self) -> ViewSettings:
@@ -85,22 +88,22 @@
 
     @property
     def digest(self) -> int:
-        """Equal digests mean equal views."""
+        """Digest of the present members; equal digests mean equal views."""
         return self._state.members.digest
 
     @property
     def version(self) -> int:
-        """How often the view has changed."""
+        """Number of changes of the view."""
         return self._state.version
 
     @property
     def local_health(self) -> int:
-        """0 for a healthy member; above, it is slow itself and waits longer before it suspects others."""
+        """0 if healthy; above 0, the local member is slow and waits longer before it suspects others."""
         return self._state.local_health.score
 
     @property
     def queued_records(self) -> int:
-        """Records that are still to be spread."""
+        """Number of records that are still to be disseminated."""
         return len(self._state.gossip_queue)
 
     @property
@@ -109,35 +112,35 @@
 
     @property
     def next_due(self) -> float:
-        """When `advance` must be called next; infinity where this member takes no part any more."""
+        """When `advance` must be called next; infinity once this member is no longer active."""
         return self._state.timers.next_due if self._state.is_active else inf
 
     def members(self) -> list[Member]:
-        """All known members, by name."""
+        """Return all known members, sorted by name."""
         return sorted(self._state.members, key=lambda member: member.record.name)
 
     def stable_for(self, now: float) -> float:
-        """Seconds since the view last changed."""
+        """Return the seconds since the view last changed."""
         return self._state.stable_for(now)
 
-    def reachability_shares(self, now: float) -> dict[str, dict[str, float]]:
-        """By site, then by member: the share of its calls to that site that was answered lately."""
-        return self._state.reachability.answered_shares(now, self.settings.name)
+    def reachability_fractions(self, now: float) -> dict[str, dict[str, float]]:
+        """Return, by site and member, the fraction of its recent probes of that site acknowledged."""
+        return self._state.reachability.answered_fractions(now, self.settings.name)
 
     # Time and messages
 
     def advance(self, now: float) -> list[Effect]:
-        """Run the timers that are due; all effects since the last call, in their order."""
-        late = now - self.next_due
-        if late > STALL_THRESHOLD * self._state.period:
-            self._resume_after_stall(late)
+        """Run the timers that are due; return all effects since the last call, in order."""
+        delay = now - self.next_due
+        if delay > STALL_THRESHOLD * self._state.period:
+            self._resume_after_stall(delay)
         while self.next_due <= now:
             self._state.timers.run_next(now)
         effects, self._state.effects = self._state.effects, []
         return effects
 
     def receive_datagram(self, now: float, data: bytes) -> None:
-        """Take in a datagram. What is malformed, or of another fleet, is counted and dropped."""
+        """Handle a received datagram; one that is malformed or of another fleet is counted and dropped."""
         self._state.counters.datagrams += 1
         if not self._state.is_active:
             return
@@ -151,13 +154,13 @@
             self.count_refused(str(error))
 
     def first_frame(self, now: float) -> bytes:
-        """The first frame of a stream that this member opened."""
+        """Return the first frame of a stream that this member opened."""
         return self._anti_entropy.first_frame(now)
 
     def receive_frame(self, now: float, data: bytes) -> bytes | None:
-        """The answer to a frame of a stream; None where the stream has ended.
+        """Handle a received frame of a stream; return the next frame to send, or None once the stream ends.
 
-        MalformedMessageError: the stream is to be closed.
+        Raises MalformedMessageError if the stream is to be closed.
         """
         if not self._state.is_active:
             return None
@@ -167,35 +170,38 @@
         except MalformedMessageError as error:
             self.count_refused(str(error))
             raise
-        return self._anti_entropy.answer(now, frame)
+        return self._anti_entropy.handle_frame(now, frame)
 
-    def count_refused(self, why: str) -> None:
-        """Count what came in and is not taken; operators are told of the first, and ever more seldom."""
-        self._state.count_refused(why)
+    def count_refused(self, reason: str) -> None:
+        """Count a refused message; the first emits an event, later ones with decreasing frequency."""
+        self._state.count_refused(reason)
 
-    # What operators and the dispatcher ask
+    # Requests of operators and of the dispatcher
 
     def leave(self, now: float) -> None:
-        """Announce that this member leaves; the transport carries out what `advance` gives, then closes."""
+        """Announce that this member leaves; the transport calls `advance` once more, then closes."""
         self._local.announce(now, LEFT)
         self._dissemination.send_to_random(now, LEAVE_FANOUT)
         self._state.status = ViewStatus.LEFT
 
     def set_load(self, load: int) -> None:
-        """How full this dispatcher is, 0 to 255, as other members are told."""
+        """Set the load of this dispatcher, 0 to 255, that is reported to other members."""
         self._state.load = load
 
     def set_lameduck(self, now: float, lameduck: bool) -> None:
-        """Announce that this member is being emptied, or takes clients again."""
+        """Announce that this member drains, or accepts clients again."""
         if self.local.record.lameduck != lameduck:
             self._local.announce(now, ALIVE, lameduck)
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """Take over other seeds, as addresses."""
+        """Replace the seeds, given as addresses."""
         self._anti_entropy.seeds = list(seeds)
 
     def forget_failed(self, now: float, name: str) -> bool:
-        """Hold a failed member to have left, here and everywhere; False where no such member failed."""
+        """Declare that a failed member has left, throughout the fleet.
+
+        Returns False if no member of that name has failed.
+        """
         member = self._state.members.get(name)
         if member is None or member.record.state != FAILED:
             return False
@@ -205,11 +211,11 @@
     # Internals
 
     def _observe_sender(self, now: float, header: MessageHeader) -> None:
-        """A message shows that its sender lives, and what it says of itself."""
+        """Handle a message header: its sender is alive, and reports its own state."""
         if header.fleet != self.settings.fleet:
             raise MalformedMessageError("another fleet")
         if header.sender == self.settings.name:
-            self._conflicts.observe_rival(now, header)
+            self._conflicts.observe_duplicate(now, header)
             return
         member = self._state.members.get(header.sender)
         if member is None or member.record.start_key < header.start_key:
@@ -218,11 +224,11 @@
             self._observe_member(now, member, header)
 
     def _observe_member(self, now: float, member: Member, header: MessageHeader) -> None:
-        member.last_heard, member.load, self._state.last_heard = now, header.load, now
+        member.last_heard_at, member.load, self._state.last_heard_at = now, header.load, now
         self._state.reachability.record_report(now, header.sender, header.reachability)
         is_absent = member.record.state in (FAILED, LEFT)
-        if is_absent and now - member.last_called >= self._state.period:
-            # It may not know that it is held to have failed; the ping tells it.
+        if is_absent and now - member.last_pinged_at >= self._state.period:
+            # It may not know that it was declared failed; the ping carries that record.
             self._reconnection.ping(now, member)
         elif header.digest != self.digest and self._is_stable(now):
             self._anti_entropy.sync_with(now, header.address)
@@ -231,10 +237,10 @@
         return self._state.stable_for(now) >= SYNC_AFTER_STABLE * self._state.period
 
     def _handle(self, now: float, message: Datagram) -> None:
-        """Act on a datagram, beyond its header and its records; a nack or gossip asks for nothing more."""
+        """Handle what is specific to a kind of datagram; nacks and gossip have only a header and records."""
         match message:
             case messages.Ping(target=target) if target == self.settings.name:
-                # Else another member has this address now.
+                # Otherwise the ping is meant for another member, which had this address before.
                 self._sender.send_ack(now, message.header.address, message.sequence)
             case messages.PingRequest():
                 self.relayed_pings.relay(now, message)
@@ -248,20 +254,20 @@
         self.probing.acknowledge(message)
         self._reconnection.acknowledge(now, message)
 
-    def _resume_after_stall(self, late: float) -> None:
-        """The process stood still: nobody could be heard meanwhile, and nobody had time to refute."""
+    def _resume_after_stall(self, delay: float) -> None:
+        """Recover from a stall of this process, during which no message or refutation could be received."""
         self._state.counters.slept += 1
         self._state.local_health.worsen()
         self.probing.abandon()
         self.relayed_pings.abandon()
         self._reconnection.abandon()
-        self._merger.suspicion.postpone_all(late)
+        self._merger.suspicion.postpone_all(delay)
 
     def _forget_expired(self, now: float) -> None:
-        """Forget members that have been absent for long."""
+        """Forget members that have been absent for `forget_after`."""
         self._state.schedule(now, FORGET_INTERVAL, self._forget_expired)
         for member in list(self._state.members.absent.values()):
-            if now - member.state_since >= self.settings.forget_after:
+            if now - member.state_changed_at >= self.settings.forget_after:
                 name = member.record.name
                 self._state.members.remove(name)
                 self._state.gossip_queue.remove(name)
--- a/laureldock/rehearsal/fleet/simulated.py
+++ b/laureldock/rehearsal/fleet/simulated.py
@@ -70,5 +70,5 @@
             if step.do == "cut":
                 link.cuts += sign
             else:
-                link.loss, link.doubled = max(0, sign) * step.loss, max(0, sign) * step.doubled
+                link.loss, link.duplicated = max(0, sign) * step.loss, max(0, sign) * step.doubled
                 link.delay = max(0, sign) * step.delay
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -105,8 +105,8 @@
     simulation = start_simulation(4)
     before = simulation.hosts["d2"].view
     assert before
-    simulation.kill("d2", folder=True)
-    after = simulation.start("d2", clock=-7200.0)
+    simulation.kill("d2", lose_state=True)
+    after = simulation.start("d2", clock_offset=-7200.0)
     assert after.local.record.start_key < before.local.record.start_key
     simulation.run(simulation.now + 8)
     assert after.local.record.generation == before.local.record.generation + 1 and simulation.views_agree()
@@ -137,7 +137,7 @@
     simulation.run(simulation.now + 5)
     assert all(
         not [each for each in one.member_table.absent.values() if each.record.state == FAILED]
-        for one in simulation.living()
+        for one in simulation.active_views()
     )
 
 
@@ -162,9 +162,9 @@
     simulation.run(simulation.now + 12)
     view, cut = simulation.hosts["d0"].view, simulation.hosts["d1"].view
     assert view and cut
-    reach = view.reachability_shares(simulation.now)
+    reach = view.reachability_fractions(simulation.now)
     assert reach["s2"]["d0"] == 1.0 and all(share <= 0.2 for share in reach.get("s1", {}).values())
-    assert all(share == 0.0 for share in cut.reachability_shares(simulation.now).get("s0", {}).values())
+    assert all(share == 0.0 for share in cut.reachability_fractions(simulation.now).get("s0", {}).values())
 
 
 # Bad input
@@ -286,7 +286,7 @@
 
     @rule(name=names, folder=st.booleans())
     def kill(self, name: str, folder: bool) -> None:
-        if len(self.simulation.living()) > 2:
+        if len(self.simulation.active_views()) > 2:
             self.simulation.kill(name, folder)
 
     @rule(name=names, clock=st.sampled_from([0.0, -3600.0, 5.0]))
@@ -314,9 +314,9 @@
         simulation = self.simulation
         simulation.network.links.clear()
         simulation.network.loss = 0.0
-        simulation.run(max([simulation.now, *(host.stalled for host in simulation.hosts.values())]))
+        simulation.run(max([simulation.now, *(host.stalled_until for host in simulation.hosts.values())]))
         # Each that died has to be found by those left: of many at once that takes over ten periods.
-        assert simulation.settle(60.0) <= 25.0, [view.settings.name for view in simulation.living()]
+        assert simulation.settle(60.0) <= 25.0, [view.settings.name for view in simulation.active_views()]
 
 
 TestFaults = Faults.TestCase
