--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -22,7 +22,7 @@
 from laureldock.rehearsal.fleet.configuration import FRONT_PORT
 from laureldock.rehearsal.fleet.member_process import MemberProcess
 from laureldock.rehearsal.fleet.processes import ProcessFleet
-from laureldock.rehearsal.fleet.script import Script, Step, load, shipped
+from laureldock.rehearsal.fleet.script import Script, Step, load_script, shipped_scripts
 
 
 @click.group()
@@ -48,10 +48,15 @@
 
     async def measure(size: int, view: bool, folder: str) -> tuple[float, float, float]:
         fleet = ProcessFleet(
-            Script(name="idle", members=size), 1, Path(folder), period=period, view=view, net=90
+            Script(name="idle", members=size),
+            1,
+            Path(folder),
+            period=period,
+            with_view=view,
+            address_octet=90,
         )
         try:
-            await fleet.begin()
+            await fleet.start_members()
             joined = await fleet.settle(100.0) if view else 0.0
             await asyncio.sleep(3 * period)
             before = {name: cpu(pid(member)) for name, member in fleet.members.items()}
@@ -63,7 +68,7 @@
                 joined,
             )
         finally:
-            await fleet.end()
+            await fleet.shut_down()
 
     print("members  with: ms of processor a second, MB, joined in periods  without: ms, MB")
     for size in sizes_of(sizes):
@@ -122,13 +127,13 @@
                 1,
                 Path(folder) / str(view),
                 period=1.0,
-                view=view,
-                net=91 + view,
+                with_view=view,
+                address_octet=91 + view,
             )
             fleet.receivers = {}
             fleets[view] = fleet
             for member in fleet.members.values():
-                await fleet.place(member)
+                await fleet.prepare(member)
                 told = "".join(
                     f'[[endpoint]]\nname = "r{port}"\ndestination = "north"\naddress = "127.0.0.1:{port}"\n'
                     for port in receivers.ports
@@ -157,7 +162,7 @@
                 print(f"{name}, with the view over without: {middle:.3f} ({least:.3f} to {most:.3f})")
         finally:
             for fleet in fleets.values():
-                await fleet.end()
+                await fleet.shut_down()
 
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(run(folder))
@@ -165,21 +170,26 @@
 
 @main.command()
 @click.option("--sizes", default="5,12,40", show_default=True)
-@click.option("--names", default=",".join(shipped()))
+@click.option("--names", default=",".join(shipped_scripts()))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--period", default=0.2, show_default=True)
 def scripts(sizes: str, names: str, seed: int, period: float) -> None:
     """Each script at each size: periods until all views were equal after the last fault."""
     for size in sizes_of(sizes):
         for name in names.split(","):
-            script = load(name)
+            script = load_script(name)
             script.members = max(size, script.members)
             with tempfile.TemporaryDirectory() as folder:
                 verdict = asyncio.run(ProcessFleet(script, seed, Path(folder), period=period).play())
-            word = "held" if verdict.held else f"BROKEN {verdict.broken}"
+            word = "held" if verdict.passed else f"BROKEN {verdict.broken}"
             mails = next((cases for rule, cases, _ in verdict.rules), 0)
-            cost = f"{len(verdict.events):5} events, {verdict.bytes_each:5.0f} bytes, {mails} mails"
-            print(f"{script.members:4} {name:10} {verdict.settled:5.1f} periods, {cost}: {word}", flush=True)
+            cost = (
+                f"{len(verdict.events):5} events, {verdict.bytes_per_member_period:5.0f} bytes, {mails} mails"
+            )
+            print(
+                f"{script.members:4} {name:10} {verdict.settled_periods:5.1f} periods, {cost}: {word}",
+                flush=True,
+            )
 
 
 @main.command()
@@ -193,13 +203,15 @@
     step = Step(at=1, do="spoil", who=["all"], to=["all"], loss=share, lasts=length)
     script = Script(name="loss", members=members, spared=True, step=[step])
     with tempfile.TemporaryDirectory() as folder:
-        verdict = asyncio.run(ProcessFleet(script, 1, Path(folder), period=period, rate=5.0, net=94).play())
+        verdict = asyncio.run(
+            ProcessFleet(script, 1, Path(folder), period=period, rate=5.0, address_octet=94).play()
+        )
     failed = sum(event.name == "failed" for event in verdict.events)
     suspected = sum(event.name == "suspected" for event in verdict.events)
     print(
         f"{members} members, {share:.0%} lost for {minutes:g} minutes: {failed} failed, {suspected} suspected"
     )
-    print("held" if verdict.held else verdict.broken)
+    print("held" if verdict.passed else verdict.broken)
 
 
 if __name__ == "__main__":
--- a/laureldock/cli/rehearse.py
+++ b/laureldock/cli/rehearse.py
@@ -68,18 +68,18 @@
     """
     try:
         from laureldock.rehearsal.fleet.processes import play
-        from laureldock.rehearsal.fleet.script import load, shipped
+        from laureldock.rehearsal.fleet.script import load_script, shipped_scripts
         from laureldock.rehearsal.fleet.simulated import SimulatedRun
-        from laureldock.rehearsal.fleet.verdict import side_by_side
+        from laureldock.rehearsal.fleet.verdict import format_timeline
     except ImportError as fault:
         hint = "pip install 'laureldock[rehearse]'"
         raise click.ClickException(f"{fault}; the rehearsal needs its extra: {hint}") from None
     if script is None:
-        for name in shipped():
-            click.echo(f"{name:10} {load(name).about}")
+        for name in shipped_scripts():
+            click.echo(f"{name:10} {load_script(name).about}")
         return
     try:
-        found = load(script)
+        found = load_script(script)
         found.members = dispatchers or found.members
         found.timeline(seed)
     except (OSError, ValueError) as fault:
@@ -98,18 +98,18 @@
     if as_json:
         click.echo(json.dumps(verdict.fields()))
     else:
-        if not verdict.held:
-            click.echo("\n".join(side_by_side(found, verdict)))
+        if not verdict.passed:
+            click.echo("\n".join(format_timeline(found, verdict)))
         click.echo(
-            f"{found.name}, seed {seed}: {'held' if verdict.held else 'BROKEN'}; views equal"
-            f" {verdict.settled:.1f} periods after the last fault, {len(verdict.events)} events,"
-            f" {verdict.bytes_each:.0f} bytes a member and period"
+            f"{found.name}, seed {seed}: {'held' if verdict.passed else 'BROKEN'}; views equal"
+            f" {verdict.settled_periods:.1f} periods after the last fault, {len(verdict.events)} events,"
+            f" {verdict.bytes_per_member_period:.0f} bytes a member and period"
         )
         for rule, cases, broken in verdict.rules:
             click.echo(f"  {rule:36} {f'BROKEN {broken} times' if broken else 'held'} in {cases} cases")
         for each in verdict.broken:
             click.echo(f"  {each}")
-    raise SystemExit(0 if verdict.held else 1)
+    raise SystemExit(0 if verdict.passed else 1)
 
 
 @command.command()
--- a/laureldock/rehearsal/fleet/__init__.py
+++ b/laureldock/rehearsal/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The rig: a fleet of real dispatchers on loopback, relays that cut and spoil what passes, scripts.
+"""Rehearsals of a fleet: real dispatchers on loopback, relays that cut and impair links, and fault scripts.
 
-The same scripts drive the processes (`processes.py`) and the model on one clock (`simulated.py`).
+The same scripts drive processes (`processes.py`) and the simulation on one clock (`simulated.py`).
 """
--- a/laureldock/rehearsal/fleet/configuration.py
+++ b/laureldock/rehearsal/fleet/configuration.py
@@ -7,7 +7,7 @@
 from laureldock.rehearsal.standins import Receiver
 
 FLEET_PORT, FRONT_PORT, OPERATORS_PORT = 7946, 6390, 9100
-LIFETIME = 8.0  # seconds, of each mail
+LIFETIME = 8.0  # seconds, of each message
 
 DISPATCHER = """\
 name = "{name}"
@@ -56,14 +56,14 @@
 
 
 def dispatcher_table(name: str, seed: int, host: str) -> str:
-    """Everything but the fleet and the receivers."""
+    """Return the configuration of a dispatcher, without its fleet and its receivers."""
     return DISPATCHER.format(
         name=name, seed=seed, host=host, operators_port=OPERATORS_PORT, front_port=FRONT_PORT
     )
 
 
 def fleet_table(host: str, relay: str, seeds: Iterable[str], site: str, period: float) -> str:
-    """The table `[fleet]`; `seeds` are hosts of relays, `period` is seconds."""
+    """Return the table `[fleet]`; `seeds` are hosts of relays, `period` is in seconds."""
     addresses = ", ".join(f'"{seed}:{FLEET_PORT}"' for seed in seeds)
     return FLEET.format(
         host=host, port=FLEET_PORT, relay=relay, seeds=addresses, site=site, period=round(period * 1000)
@@ -71,6 +71,6 @@
 
 
 def endpoint_table(name: str, receiver: Receiver, host: str) -> str:
-    """One `[[endpoint]]`: a receiver as it is reached by `host`."""
+    """Return one `[[endpoint]]`: a receiver that is reached by way of `host`."""
     address = f"{host}:{receiver.port}"
     return ENDPOINT.format(name=name, destination=receiver.destination, rate=receiver.rate, address=address)
--- a/laureldock/rehearsal/fleet/member.py
+++ b/laureldock/rehearsal/fleet/member.py
@@ -1,4 +1,4 @@
-"""A member of a rehearsed fleet: the program as it is, with its wall clock so many seconds off.
+"""A member of a rehearsed fleet: the unmodified program, with its wall clock offset by some seconds.
 
 Run as `python -m laureldock.rehearsal.fleet.member SECONDS ARGUMENTS...`.
 """
@@ -11,11 +11,11 @@
 
 
 def main() -> None:
-    off = float(sys.argv.pop(1))
-    if off:
-        real = time.time
-        time.time = lambda: real() + off
-    runpy.run_module("laureldock", run_name="__main__")  # what it imports takes the clock as it finds it
+    clock_offset = float(sys.argv.pop(1))
+    if clock_offset:
+        real_time = time.time
+        time.time = lambda: real_time() + clock_offset
+    runpy.run_module("laureldock", run_name="__main__")  # its modules see the replaced clock
 
 
 if __name__ == "__main__":
--- a/laureldock/rehearsal/fleet/processes.py
+++ b/laureldock/rehearsal/fleet/processes.py
@@ -1,7 +1,7 @@
-"""Plays a script with real processes of the program on loopback, and holds the six rules over the fleet.
+"""Plays a script with real processes of the program on loopback, and checks the six rules over the fleet.
 
-Member k listens at 127.b.0.k, is reached by others at 127.b.1.k, where the relay before it stands, and
-reaches receivers by 127.b.2.k. What members tell of one another is evidence of the view alone.
+Member k listens at 127.b.0.k, is reached by others at 127.b.1.k, where its relay listens, and reaches
+receivers by 127.b.2.k. The reports of members about one another count as evidence on the views only.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
     endpoint_table,
     fleet_table,
 )
-from laureldock.rehearsal.fleet.mails import MailLoad
 from laureldock.rehearsal.fleet.member_process import MemberProcess
-from laureldock.rehearsal.fleet.relay import Network, Relay
-from laureldock.rehearsal.fleet.script import Pair, Script, Step, pairs
+from laureldock.rehearsal.fleet.message_load import MessageLoad
+from laureldock.rehearsal.fleet.relay import Relay, RelayNetwork
+from laureldock.rehearsal.fleet.script import Pair, Script, Step, directed_pairs
 from laureldock.rehearsal.fleet.verdict import ObservedEvent, Verdict, judge
 from laureldock.rehearsal.standins import Receiver
 
-EVENT_PREFIX = "fleet: "  # of log events of the view
+EVENT_PREFIX = "fleet: "  # of the log events of a view
 OBSERVATION_INTERVAL = 0.05  # seconds
 JOIN_TIMEOUT = 100.0  # periods
-WIND_UP_MARGIN = 4.0  # seconds beyond the lifetime of the last mails
+FINISH_MARGIN = 4.0  # seconds after the lifetime of the last messages
 
 
 class ProcessFleet:
-    """A fleet of member processes, relays before them and stand-in receivers, for one run of a script."""
+    """Member processes, the relays in front of them, and stub receivers, for one run of a script."""
 
     def __init__(
         self,
@@ -50,62 +50,70 @@
         folder: Path,
         period: float = 0.2,
         rate: float = 10.0,
-        view: bool = True,
-        say: Callable[[str], None] = lambda text: None,
-        net: int = 0,
+        with_view: bool = True,
+        report_progress: Callable[[str], None] = lambda text: None,
+        address_octet: int = 0,
     ) -> None:
-        """`period`: of the views, in seconds; `rate`: mails a second over all; `view`: whether members have a
-        `[fleet]`; `net`: the second octet of all addresses, so that several fleets may run at once."""
+        """Create the members and receivers without starting them.
+
+        `period` is that of the views, in seconds; `rate` is messages per second in total; `with_view` states
+        whether members have a `[fleet]`. `address_octet` is the second octet of all addresses, so that
+        several fleets can run at once; by default it is derived from the process id.
+        """
         self.script, self.seed, self.folder, self.period = script, seed, folder, period
-        self.view, self.say = view, say
-        self.net = net or 16 + os.getpid() % 200
-        self.network = Network(seed)
+        self.with_view, self.report_progress = with_view, report_progress
+        self.address_octet = address_octet or 16 + os.getpid() % 200
+        self.network = RelayNetwork(seed)
         self.account = Account()
         self.receivers = {
-            name: Receiver(name, owner, self.account, seed + place)
-            for place, (name, owner) in enumerate(
+            name: Receiver(name, owner, self.account, seed + number)
+            for number, (name, owner) in enumerate(
                 {"bank-1": "bank", "bank-2": "bank", "bakery-1": "bakery"}.items()
             )
         }
         self.members = {
-            name: self.add_member(name, name, place) for place, name in enumerate(script.names(), start=1)
+            name: self.add_member(name, name, number)
+            for number, name in enumerate(script.member_names(), start=1)
         }
-        self.mails = MailLoad(self.account, self.members, seed, rate)
+        self.message_load = MessageLoad(self.account, self.members, seed, rate)
         self.relays: list[Relay] = []
-        self.began = 0.0
-        self.deeds: list[tuple[float, str]] = []
+        self.started_at = 0.0
+        self.actions: list[tuple[float, str]] = []
         self.events: list[ObservedEvent] = []
-        self.lag = 0.0  # seconds that this process was late at most
+        self.max_lag = 0.0  # seconds; maximum scheduling delay of this process
         self.tasks: list[asyncio.Task[None]] = []
 
-    def add_member(self, key: str, name: str, place: int) -> MemberProcess:
-        """A member with addresses of its own; it is not started."""
-        host, relay, receiver_host = (f"127.{self.net}.{part}.{place}" for part in range(3))
-        self.network.by_host[host] = key
-        site = self.script.site(name)
-        return MemberProcess(key, name, site, host, relay, receiver_host, self.folder / key)
+    def add_member(self, key: str, name: str, number: int) -> MemberProcess:
+        """Create a member with its own addresses, without starting it."""
+        host, relay_host, receiver_host = (f"127.{self.address_octet}.{part}.{number}" for part in range(3))
+        self.network.names_by_host[host] = key
+        site = self.script.site_of(name)
+        return MemberProcess(key, name, site, host, relay_host, receiver_host, self.folder / key)
 
     def configure(self, member: MemberProcess, seeds: list[str] | None = None) -> None:
-        """Write a member's configuration; `seeds` are names of members, by default those of the script."""
+        """Write a member's configuration; `seeds` are member names, by default those of the script."""
         text = dispatcher_table(member.name, self.seed, member.host)
-        if self.view:
-            relays = [self.members[name].relay for name in seeds or self.script.seeds]
-            text += fleet_table(member.host, member.relay, relays, member.site, self.period)
+        if self.with_view:
+            relays = [self.members[name].relay_host for name in seeds or self.script.seeds]
+            text += fleet_table(member.host, member.relay_host, relays, member.site, self.period)
         for name, receiver in self.receivers.items():
             text += endpoint_table(name, receiver, member.receiver_host)
         member.folder.mkdir(parents=True, exist_ok=True)
         (member.folder / "laureldock.toml").write_text(text)
 
-    async def place(self, member: MemberProcess) -> None:
+    async def prepare(self, member: MemberProcess) -> None:
         """Open the relays around a member, and write its configuration."""
         network = self.network
         relays: list[tuple[Relay, bool]] = []
-        if self.view:
-            to_member = Relay(network, member.key, (member.relay, FLEET_PORT), (member.host, FLEET_PORT))
+        if self.with_view:
+            to_member = Relay(network, member.key, (member.relay_host, FLEET_PORT), (member.host, FLEET_PORT))
             relays.append((to_member, True))
         for name, receiver in self.receivers.items():
-            at, to = (member.receiver_host, receiver.port), ("127.0.0.1", receiver.port)
-            relays.append((Relay(network, name, at, to, member.key), False))
+            listen_address, target_address = (
+                (member.receiver_host, receiver.port),
+                ("127.0.0.1", receiver.port),
+            )
+            relays.append((Relay(network, name, listen_address, target_address, member.key), False))
         for relay, datagrams in relays:
             await relay.open(datagrams)
             self.relays.append(relay)
@@ -114,56 +122,59 @@
     # The run
 
     async def play(self) -> Verdict:
-        """Play the script, and end all processes. RuntimeError, TimeoutError: one did not start."""
+        """Play the script, then end all processes. Raises RuntimeError or TimeoutError if a start fails."""
         try:
             return await self.run()
         finally:
-            await self.end()
+            await self.shut_down()
 
-    async def begin(self) -> None:
+    async def start_members(self) -> None:
         """Start all members behind their relays, and wait until they are ready."""
         for receiver in self.receivers.values():
             await receiver.start(time.time())
         for member in self.members.values():
-            await self.place(member)
+            await self.prepare(member)
             await member.launch()
         for member in self.members.values():
             await member.wait_ready()
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
 
     async def run(self) -> Verdict:
-        """The script from the start of all members to their planned stop, and what is to be said of it."""
+        """Run the script from the start of all members to their planned stop, and check the run."""
         script = self.script
-        self.say(f"{script.name}: {script.members} members, seed {self.seed}, period {self.period:g} s")
-        await self.begin()
-        joined = await self.settle(JOIN_TIMEOUT) if self.view else 0.0
-        self.began = time.monotonic()
-        bytes_before, load = self.network.passed, asyncio.create_task(self.mails.run())
+        self.report_progress(
+            f"{script.name}: {script.members} members, seed {self.seed}, period {self.period:g} s"
+        )
+        await self.start_members()
+        join_periods = await self.settle(JOIN_TIMEOUT) if self.with_view else 0.0
+        self.started_at = time.monotonic()
+        bytes_before, load = self.network.bytes_passed, asyncio.create_task(self.message_load.run())
         self.tasks.append(asyncio.create_task(self.observe()))
         for at, step, who, to in script.timeline(self.seed):
             await self.sleep_until(at)
-            await self.do(step, who, to)
-        await self.sleep_until(script.end())
-        settled = await self.settled_after_faults(joined)
-        length = self.elapsed()
+            await self.perform(step, who, to)
+        await self.sleep_until(script.end_time())
+        settled_periods = await self.settled_after_faults(join_periods)
+        periods_played = self.elapsed()
         load.cancel()
         await asyncio.gather(load, return_exceptions=True)
-        verdict = Verdict(script.name, self.seed, settled, [], self.deeds)
-        passed = self.network.passed - bytes_before
-        verdict.bytes_each = passed / max(1.0, length) / script.members
-        await self.wind_up()
+        verdict = Verdict(script.name, self.seed, settled_periods, [], self.actions)
+        bytes_passed = self.network.bytes_passed - bytes_before
+        verdict.bytes_per_member_period = bytes_passed / max(1.0, periods_played) / script.members
+        await self.finish()
         verdict.events = sorted(self.events, key=lambda event: event.at)
-        # Processes that start starve one another for as long: their answers lie unread, or on their way here.
-        self.account.unread += 3 * self.lag
-        found = judge_rules(self.account)
-        verdict.rules = [(each.rule, each.counted, len(each.broken)) for each in found]
-        verdict.cases = [case for each in found for case in each.broken]
-        return judge(script, verdict, length)
-
-    async def wind_up(self) -> None:
-        """All lifetimes over, then SIGTERM to all; what stands in their logs and notices is read."""
-        until = time.monotonic() + LIFETIME + WIND_UP_MARGIN
-        while time.monotonic() < until and self.mails.open_mails():
+        # Starting processes compete for the processor for as long as the scheduling delay: responses may be
+        # unread or in transit meanwhile.
+        self.account.unread += 3 * self.max_lag
+        rule_verdicts = judge_rules(self.account)
+        verdict.rules = [(each.rule, each.counted, len(each.broken)) for each in rule_verdicts]
+        verdict.violations = [case for each in rule_verdicts for case in each.broken]
+        return judge(script, verdict, periods_played)
+
+    async def finish(self) -> None:
+        """Wait until no message is pending, stop all members by SIGTERM, and read their logs and notices."""
+        until = time.monotonic() + LIFETIME + FINISH_MARGIN
+        while time.monotonic() < until and self.message_load.pending_messages():
             await asyncio.sleep(0.1)
         for member in self.members.values():
             if member.stopped and member.process:
@@ -171,14 +182,14 @@
         await asyncio.gather(*(member.kill(signal.SIGTERM) for member in self.members.values()))
         for member in self.members.values():
             self.read_log(member)
-            self.mails.read_notices(member)
-        self.mails.forgive_lost()
+            self.message_load.read_notices(member)
+        self.message_load.excuse_lost_messages()
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """End all processes, relays and receivers."""
         for task in self.tasks:
             task.cancel()
-        await self.mails.close()
+        await self.message_load.close()
         await asyncio.gather(*(member.kill(signal.SIGKILL) for member in self.members.values()))
         for relay in self.relays:
             await relay.close()
@@ -186,36 +197,39 @@
             await receiver.stop()
 
     def elapsed(self) -> float:
-        """Periods since all were up."""
-        return (time.monotonic() - self.began) / self.period
+        """Return the periods since all members were up."""
+        return (time.monotonic() - self.started_at) / self.period
 
     async def sleep_until(self, periods: float) -> None:
-        """Until so many periods after all were up."""
-        await asyncio.sleep(max(0.0, self.began + periods * self.period - time.monotonic()))
+        """Sleep until `periods` periods after all members were up."""
+        await asyncio.sleep(max(0.0, self.started_at + periods * self.period - time.monotonic()))
 
     # Agreement of views
 
-    async def settled_after_faults(self, joined: float) -> float:
-        """Periods from the last fault to equal views; where the script has no faults, those of joining."""
+    async def settled_after_faults(self, join_periods: float) -> float:
+        """Return the periods from the last fault to equal views; without faults, the periods of joining."""
         if not self.script.step:
-            return joined
-        return await self.settle(6 * self.script.within) if self.view else 0.0
+            return join_periods
+        return await self.settle(6 * self.script.within) if self.with_view else 0.0
 
     async def settle(self, timeout: float) -> float:
-        """Periods until all views agree, and do so for one more; infinity if not within `timeout` periods."""
-        began = time.monotonic()
-        while (passed := (time.monotonic() - began) / self.period) < timeout:
+        """Wait until all views agree and still do one period later.
+
+        Returns the periods until they agreed; infinity if not within `timeout` periods.
+        """
+        started_at = time.monotonic()
+        while (elapsed_periods := (time.monotonic() - started_at) / self.period) < timeout:
             if await self.views_agree():
                 await asyncio.sleep(self.period)
                 if await self.views_agree():
-                    return passed
+                    return elapsed_periods
             await asyncio.sleep(self.period / 10)
         return float("inf")
 
     async def views_agree(self) -> bool:
-        """Whether all running members hold equal views, of just those that run and take part."""
+        """Return whether all running members have equal views, with exactly the active members present."""
         running = [member for member in self.members.values() if member.is_running and not member.stopped]
-        views = await asyncio.gather(*(member.ask("/_fleet") for member in running))
+        views = await asyncio.gather(*(member.query("/_fleet") for member in running))
         active = [view for view in views if view and view["standing"] == "here"]
         if len(views) - len(active) > sum(member.duplicate for member in self.members.values()):
             return False
@@ -228,10 +242,10 @@
 
     # Faults
 
-    async def do(self, step: Step, who: list[str], to: list[str]) -> None:
+    async def perform(self, step: Step, who: list[str], to: list[str]) -> None:
         """Carry out one step of the script."""
-        self.deeds.append((self.elapsed(), f"{step.do} {' '.join(who)} {' '.join(to)}".rstrip()))
-        self.say(f"  {self.elapsed():6.1f} {self.deeds[-1][1]}")
+        self.actions.append((self.elapsed(), f"{step.do} {' '.join(who)} {' '.join(to)}".rstrip()))
+        self.report_progress(f"  {self.elapsed():6.1f} {self.actions[-1][1]}")
         members = [self.members[name] for name in who]
         match step.do:
             case "kill":
@@ -239,33 +253,33 @@
             case "term":
                 self.tasks += [asyncio.create_task(member.kill(signal.SIGTERM)) for member in members]
             case "start":
-                await self.start_again(members, step)
+                await self.restart(members, step)
             case "stop":
                 for member in members:
                     if member.process and member.is_running:
                         member.stop()
-                        self.later(step.lasts, member.resume, member.process)
+                        self.schedule(step.lasts, member.resume, member.process)
             case "twin":
                 for name in who:
                     await self.start_duplicate(name)
             case "cut" | "spoil" | "receivers":
                 others = list(self.receivers) if step.do == "receivers" else to
-                between = pairs(step, who, others)
-                self.spoil(step, between, 1)
-                self.later(step.lasts, self.spoil, step, between, -1)
+                link_pairs = directed_pairs(step, who, others)
+                self.set_link_faults(step, link_pairs, 1)
+                self.schedule(step.lasts, self.set_link_faults, step, link_pairs, -1)
 
-    async def kill(self, members: list[MemberProcess], folder: bool) -> None:
-        """SIGKILL; with `folder` their state is removed, too."""
+    async def kill(self, members: list[MemberProcess], remove_state: bool) -> None:
+        """Kill members by SIGKILL; with `remove_state` their state is removed too."""
         await asyncio.gather(*(member.kill(signal.SIGKILL) for member in members))
         for member in members:
-            self.mails.read_notices(member)
-            self.mails.note_killed(member)
-            if folder:
+            self.message_load.read_notices(member)
+            self.message_load.record_kill(member)
+            if remove_state:
                 shutil.rmtree(member.folder / "state", ignore_errors=True)
                 member.notices_read = 0
 
-    async def start_again(self, members: list[MemberProcess], step: Step) -> None:
-        """Start members that have ended, or will soon."""
+    async def restart(self, members: list[MemberProcess], step: Step) -> None:
+        """Start members again, once their previous processes have exited."""
         for member in members:
             if member.process:
                 await member.process.wait()
@@ -275,44 +289,47 @@
             await member.wait_ready()
 
     async def start_duplicate(self, name: str) -> None:
-        """Start another process of a member's name, at addresses of its own."""
+        """Start a second process of a member's name, at its own addresses."""
         duplicate = self.add_member(f"{name}~", name, len(self.members) + 1)
         duplicate.duplicate = True
         self.members[duplicate.key] = duplicate
-        await self.place(duplicate)
+        await self.prepare(duplicate)
         await duplicate.launch()
         await duplicate.wait_ready()
 
-    def later(self, periods: float, call: Callable[..., None], *arguments: Any) -> None:
-        """Call something after so many periods."""
-        asyncio.get_running_loop().call_later(periods * self.period, call, *arguments)
+    def schedule(self, periods: float, action: Callable[..., None], *arguments: Any) -> None:
+        """Call `action` with `arguments` after `periods` periods."""
+        asyncio.get_running_loop().call_later(periods * self.period, action, *arguments)
 
-    def spoil(self, step: Step, between: list[Pair], sign: int) -> None:
-        """Begin (sign 1) or end (sign -1) a cut of links, or a spoiling."""
-        for pair in between:
+    def set_link_faults(self, step: Step, link_pairs: list[Pair], sign: int) -> None:
+        """Begin (sign 1) or end (sign -1) the faults of a step on links."""
+        for pair in link_pairs:
             link = self.network.link(*pair)
             if step.do == "spoil":
-                on = max(0, sign)
-                link.loss, link.doubled = on * step.loss, on * step.doubled
-                link.delay, link.rate = on * step.delay, on * step.rate
+                factor = max(0, sign)
+                link.loss, link.duplicated = factor * step.loss, factor * step.doubled
+                link.delay, link.rate = factor * step.delay, factor * step.rate
             else:
                 link.cuts += sign
 
     # Observation
 
     async def observe(self) -> None:
-        """Notices as they come; and how late this process itself is, which carries all answers."""
+        """Read notices as they are written, and measure the scheduling delay of this process.
+
+        The relays and stub receivers run in this process, so its delay affects all responses.
+        """
         while True:
             for member in self.members.values():
-                self.mails.read_notices(member)
-            began = time.monotonic()
+                self.message_load.read_notices(member)
+            started_at = time.monotonic()
             await asyncio.sleep(OBSERVATION_INTERVAL)
-            self.lag = max(self.lag, time.monotonic() - began - OBSERVATION_INTERVAL)
+            self.max_lag = max(self.max_lag, time.monotonic() - started_at - OBSERVATION_INTERVAL)
 
     def read_log(self, member: MemberProcess) -> None:
-        """Events of a member's view since all were up."""
-        start = time.time() - (time.monotonic() - self.began)
-        for line in member.log.read_text(errors="replace").splitlines():
+        """Collect the events of a member's view since all members were up."""
+        start = time.time() - (time.monotonic() - self.started_at)
+        for line in member.log_path.read_text(errors="replace").splitlines():
             with contextlib.suppress(ValueError, KeyError):
                 fields = json.loads(line)
                 name = fields["event"].removeprefix(EVENT_PREFIX)
@@ -324,7 +341,11 @@
 
 
 def play(
-    script: Script, seed: int, folder: Path, say: Callable[[str], None] = lambda text: None, **options: Any
+    script: Script,
+    seed: int,
+    folder: Path,
+    report_progress: Callable[[str], None] = lambda text: None,
+    **options: Any,
 ) -> Verdict:
     """Play a script to its end; `options` are those of `ProcessFleet`."""
-    return asyncio.run(ProcessFleet(script, seed, folder, say=say, **options).play())
+    return asyncio.run(ProcessFleet(script, seed, folder, report_progress=report_progress, **options).play())
--- a/laureldock/rehearsal/fleet/simulated.py
+++ b/laureldock/rehearsal/fleet/simulated.py
@@ -1,45 +1,65 @@
-"""Plays a script in the model: the same views on one clock set by hand."""
+"""Plays a script in a simulation: the same views as in processes, on one simulated clock."""
 
 from __future__ import annotations
 
 from laureldock.fleet.simulation import Simulation
-from laureldock.rehearsal.fleet.script import Pair, Script, Step, pairs
+from laureldock.rehearsal.fleet.script import Pair, Script, Step, directed_pairs
 from laureldock.rehearsal.fleet.verdict import ObservedEvent, Verdict, judge
 
 
 class SimulatedRun:
+    """One simulated run of a script."""
+
     def __init__(self, script: Script, seed: int, period: float = 1.0) -> None:
         self.script, self.seed, self.period = script, seed, period
-        names = script.names()
+        names = script.member_names()
         self.simulation = Simulation(
-            {name: script.site(name) for name in names}, seed, period, [f"{name}:1" for name in script.seeds]
+            {name: script.site_of(name) for name in names},
+            seed,
+            period,
+            [f"{name}:1" for name in script.seeds],
         )
-        self.deeds: list[tuple[float, str]] = []
+        self.actions: list[tuple[float, str]] = []
 
     def play(self) -> Verdict:
+        """Play the script, and check the run against its requirements."""
         simulation, script = self.simulation, self.script
-        for name in script.names():
+        for name in script.member_names():
             simulation.start(name)
-        joined = simulation.settle(60 * self.period)
-        began, events, sent = simulation.now, len(simulation.events), simulation.bytes_sent
+        join_seconds = simulation.settle(60 * self.period)
+        started_at, events_before, bytes_before = (
+            simulation.now,
+            len(simulation.events),
+            simulation.bytes_sent,
+        )
         for at, step, who, to in script.timeline(self.seed):
-            simulation.schedule(began + at * self.period, self.do, step, who, to, began)
-        end = began + script.end() * self.period
+            simulation.schedule(started_at + at * self.period, self.perform, step, who, to, started_at)
+        end = started_at + script.end_time() * self.period
         simulation.run(end)
-        settled = joined if not script.step else simulation.settle(10 * script.within * self.period)
-        told = [
-            ObservedEvent((at - began) / self.period, by, event.name, str(event.fields.get("member", "")))
-            for at, by, event in simulation.events[events:]
+        settle_seconds = (
+            join_seconds if not script.step else simulation.settle(10 * script.within * self.period)
+        )
+        observed_events = [
+            ObservedEvent(
+                (at - started_at) / self.period, by, event.name, str(event.fields.get("member", ""))
+            )
+            for at, by, event in simulation.events[events_before:]
         ]
-        length = (simulation.now - began) / self.period
-        verdict = Verdict(script.name, self.seed, settled / self.period, told, self.deeds)
-        verdict.bytes_each = (simulation.bytes_sent - sent) / max(1.0, length) / script.members
-        return judge(script, verdict, length)
+        periods = (simulation.now - started_at) / self.period
+        verdict = Verdict(script.name, self.seed, settle_seconds / self.period, observed_events, self.actions)
+        verdict.bytes_per_member_period = (
+            (simulation.bytes_sent - bytes_before) / max(1.0, periods) / script.members
+        )
+        return judge(script, verdict, periods)
 
-    def do(self, step: Step, who: list[str], to: list[str], began: float) -> None:
+    def perform(self, step: Step, who: list[str], to: list[str], started_at: float) -> None:
+        """Carry out one step of the script."""
         simulation = self.simulation
-        self.deeds.append(
-            ((simulation.now - began) / self.period, f"{step.do} {' '.join(who)} {' '.join(to)}".rstrip())
+        self.actions.append(
+            (
+                (simulation.now - started_at) / self.period,
+                f"{step.do} {' '.join(who)} {' '.join(to)}".rstrip(),
+            )
         )
         match step.do:
             case "kill":
@@ -58,14 +78,17 @@
                 for name in who:
                     simulation.start_duplicate(name)
             case "cut" | "spoil":
-                between = pairs(step, who, to)
-                self.spoil(step, between, 1)
-                simulation.schedule(simulation.now + step.lasts * self.period, self.spoil, step, between, -1)
+                link_pairs = directed_pairs(step, who, to)
+                self.set_link_faults(step, link_pairs, 1)
+                simulation.schedule(
+                    simulation.now + step.lasts * self.period, self.set_link_faults, step, link_pairs, -1
+                )
             case "receivers":
-                pass  # the model has none
+                pass  # the simulation has no receivers
 
-    def spoil(self, step: Step, between: list[Pair], sign: int) -> None:
-        for pair in between:
+    def set_link_faults(self, step: Step, link_pairs: list[Pair], sign: int) -> None:
+        """Begin (sign 1) or end (sign -1) the faults of a step on links."""
+        for pair in link_pairs:
             link = self.simulation.network.link(*pair)
             if step.do == "cut":
                 link.cuts += sign
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,9 +25,9 @@
 from laureldock.fleet.simulation import Simulation
 from laureldock.fleet.view import MembershipView
 from laureldock.rehearsal.fleet.processes import ProcessFleet
-from laureldock.rehearsal.fleet.script import load, shipped
+from laureldock.rehearsal.fleet.script import load_script, shipped_scripts
 from laureldock.rehearsal.fleet.simulated import SimulatedRun
-from laureldock.rehearsal.fleet.verdict import Verdict, side_by_side
+from laureldock.rehearsal.fleet.verdict import Verdict, format_timeline
 
 
 def start_simulation(members: int, seed: int = 1) -> Simulation:
@@ -43,18 +43,18 @@
     return [(at, by) for at, by, event in told if member in ("", event.fields.get("member"))]
 
 
-@pytest.mark.parametrize("name", shipped())
+@pytest.mark.parametrize("name", shipped_scripts())
 def test_each_script_holds_in_the_model(name: str) -> None:
-    script = load(name)
+    script = load_script(name)
     for seed in (1, 2, 3):
         verdict = SimulatedRun(script, seed).play()
-        assert verdict.held, "\n".join([*verdict.broken, *side_by_side(script, verdict)])
+        assert verdict.passed, "\n".join([*verdict.broken, *format_timeline(script, verdict)])
 
 
 def test_one_seed_gives_one_trace() -> None:
     told = []
     for seed in (5, 5, 6):
-        run = SimulatedRun(load("worse"), seed)
+        run = SimulatedRun(load_script("worse"), seed)
         run.play()
         told.append(repr(run.simulation.events))
     assert told[0] == told[1] != told[2]
@@ -332,28 +332,28 @@
 
 @pytest.mark.parametrize("part", range(4))
 def test_scripts_hold_among_processes(part: int, tmp_path: Path) -> None:
-    short = [name for name in shipped() if name not in LONG]
+    short = [name for name in shipped_scripts() if name not in LONG]
     names = LONG if part == 3 else short[part::3]
 
     async def together() -> list[Verdict]:
         runs = [
-            ProcessFleet(load(name), seed, tmp_path / name, net=20 + seed + 10 * part).play()
+            ProcessFleet(load_script(name), seed, tmp_path / name, address_octet=20 + seed + 10 * part).play()
             for seed, name in enumerate(names, start=1)
         ]
         return await asyncio.gather(*runs)
 
     for verdict in asyncio.run(together()):
-        script = load(verdict.script)
-        print("\n".join(side_by_side(script, verdict)))
-        assert verdict.held, (verdict.script, verdict.broken)
+        script = load_script(verdict.script)
+        print("\n".join(format_timeline(script, verdict)))
+        assert verdict.passed, (verdict.script, verdict.broken)
         rules = {rule: cases for rule, cases, _ in verdict.rules}
         assert rules["one final answer, in time"] > 3 or not script.step
 
 
 def test_operators_see_watch_and_forget(tmp_path: Path) -> None:
-    script = load("start")
+    script = load_script("start")
     script.members = 3
-    fleet = ProcessFleet(script, 1, tmp_path, net=19)
+    fleet = ProcessFleet(script, 1, tmp_path, address_octet=19)
 
     def told(*arguments: str) -> str:
         done = CliRunner().invoke(main, ["fleet", *arguments])
@@ -362,7 +362,7 @@
 
     async def run() -> None:
         try:
-            await fleet.begin()
+            await fleet.start_members()
             assert await fleet.settle(50.0) < 50.0
             door = f"{fleet.members['d1'].host}:9100"
             shown = await asyncio.to_thread(told, "view", door)
@@ -381,18 +381,18 @@
             view = json.loads(await asyncio.to_thread(told, "view", door, "--json"))
             assert {each["name"]: each["state"] for each in view["members"]}["d2"] == "left"
         finally:
-            await fleet.end()
+            await fleet.shut_down()
 
     asyncio.run(run())
 
 
 def test_other_seeds_are_taken_at_sighup_and_join_two_fleets(tmp_path: Path) -> None:
-    script = load("start")
+    script = load_script("start")
     script.members, script.seeds = 2, ["d1"]
-    fleet = ProcessFleet(script, 1, tmp_path, net=18)
+    fleet = ProcessFleet(script, 1, tmp_path, address_octet=18)
 
     async def members(name: str) -> int:
-        view = await fleet.members[name].ask("/_fleet")
+        view = await fleet.members[name].query("/_fleet")
         return len(view["members"]) if view else 0
 
     async def run() -> None:
@@ -401,7 +401,7 @@
             await receiver.start(0.0)
         try:
             for member, seed in ((first, "d1"), (second, "d2")):  # each knows itself alone
-                await fleet.place(member)
+                await fleet.prepare(member)
                 fleet.configure(member, [seed])
                 await member.launch()
             for member in (first, second):
@@ -414,7 +414,7 @@
             assert await fleet.settle(50.0) < 50.0
             assert [await members("d1"), await members("d2")] == [2, 2]
         finally:
-            await fleet.end()
+            await fleet.shut_down()
 
     asyncio.run(run())
 
--- a/tests/test_fleet_trace.py
+++ b/tests/test_fleet_trace.py
@@ -15,7 +15,7 @@
 from laureldock.fleet.randomness import SeededRandom
 from laureldock.fleet.simulation import Simulation
 from laureldock.fleet.view import MembershipView
-from laureldock.rehearsal.fleet.script import load
+from laureldock.rehearsal.fleet.script import load_script
 from laureldock.rehearsal.fleet.simulated import SimulatedRun
 
 GOLDEN_DIGESTS = {
@@ -50,7 +50,7 @@
     monkeypatch.setattr(Simulation, "send", recorded_send)
     monkeypatch.setattr(MembershipView, "first_frame", recorded_begin)
     monkeypatch.setattr(MembershipView, "receive_frame", recorded_frame)
-    script = load(name)
+    script = load_script(name)
     script.members = 12
     run = SimulatedRun(script, seed=5)
     run.play()
