--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The view of the fleet in the model: scripts, detection, bad input; and as processes with faults between."""
+"""The fleet view in simulations (scripts, failure detection, malformed input) and among real processes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def start_simulation(members: int, seed: int = 1) -> Simulation:
-    simulation = Simulation({f"d{place}": f"s{place % 3}" for place in range(members)}, seed)
+    simulation = Simulation({f"d{number}": f"s{number % 3}" for number in range(members)}, seed)
     for name in simulation.hosts:
         simulation.start(name)
     assert simulation.settle(20.0) < 20.0
@@ -39,28 +39,28 @@
 
 
 def events(simulation: Simulation, name: str, member: str = "") -> list[tuple[float, str]]:
-    told = [(at, by, event) for at, by, event in simulation.events if event.name == name]
-    return [(at, by) for at, by, event in told if member in ("", event.fields.get("member"))]
+    matching = [(at, by, event) for at, by, event in simulation.events if event.name == name]
+    return [(at, by) for at, by, event in matching if member in ("", event.fields.get("member"))]
 
 
 @pytest.mark.parametrize("name", shipped_scripts())
-def test_each_script_holds_in_the_model(name: str) -> None:
+def test_each_script_passes_in_the_simulation(name: str) -> None:
     script = load_script(name)
     for seed in (1, 2, 3):
         verdict = SimulatedRun(script, seed).play()
         assert verdict.passed, "\n".join([*verdict.broken, *format_timeline(script, verdict)])
 
 
-def test_one_seed_gives_one_trace() -> None:
-    told = []
+def test_a_seed_determines_the_trace() -> None:
+    traces = []
     for seed in (5, 5, 6):
         run = SimulatedRun(load_script("worse"), seed)
         run.play()
-        told.append(repr(run.simulation.events))
-    assert told[0] == told[1] != told[2]
+        traces.append(repr(run.simulation.events))
+    assert traces[0] == traces[1] != traces[2]
 
 
-def test_a_crash_is_found_by_all_within_ten_periods_and_by_none_before_it() -> None:
+def test_a_crash_is_detected_by_all_within_ten_periods_and_by_none_before_it() -> None:
     for members in (3, 20, 40):
         simulation = start_simulation(members)
         simulation.run(20.0)
@@ -73,15 +73,19 @@
         assert at + 3 <= failed[0][0] and failed[-1][0] <= at + 10
 
 
-def test_those_left_of_half_that_died_at_once_know_it_soon() -> None:
-    """Half of six: three others never confirmed it, and each of those left held itself to be slow."""
+def test_when_half_of_the_members_crash_at_once_the_others_agree_soon() -> None:
+    """Three of six crash at once.
+
+    Each suspicion waited for three confirmations that never came, and the remaining members considered
+    themselves slow.
+    """
     simulation = start_simulation(6)
     for name in ("d0", "d1", "d3"):
         simulation.kill(name)
     assert simulation.settle(30.0) <= 10.0
 
 
-def test_at_a_fifth_of_losses_no_living_member_is_failed() -> None:
+def test_no_running_member_is_declared_failed_with_a_fifth_of_datagrams_lost() -> None:
     simulation = start_simulation(5)
     simulation.network.loss = 0.2
     simulation.run(600.0)
@@ -90,18 +94,20 @@
 
 
 @pytest.mark.parametrize("seconds", [2.0, 5.0, 20.0])
-def test_one_that_stood_still_fails_nobody_on_waking(seconds: float) -> None:
+def test_a_member_that_stalled_declares_none_failed_on_resumption(seconds: float) -> None:
     simulation = start_simulation(9)
-    for turn in range(3):
+    for repetition in range(3):
         simulation.stall("d4", seconds)
         simulation.run(simulation.now + seconds + 10)
-        mine = [at for name in ("suspected", "failed") for at, by in events(simulation, name) if by == "d4"]
-        others = [event.fields["member"] for _, by, event in simulation.events if by == "d4"]
-        assert "d4" not in others and not mine, turn
+        declarations = [
+            at for name in ("suspected", "failed") for at, by in events(simulation, name) if by == "d4"
+        ]
+        declared_members = [event.fields["member"] for _, by, event in simulation.events if by == "d4"]
+        assert "d4" not in declared_members and not declarations, repetition
     assert simulation.settle(10.0) <= 10.0
 
 
-def test_a_view_with_an_empty_folder_is_never_taken_for_its_old_self() -> None:
+def test_a_restart_without_saved_state_is_not_mistaken_for_the_previous_start() -> None:
     simulation = start_simulation(4)
     before = simulation.hosts["d2"].view
     assert before
@@ -115,7 +121,7 @@
     )
 
 
-def test_of_two_processes_of_one_name_the_later_stays_and_both_say_so() -> None:
+def test_of_two_processes_of_one_name_the_later_stays_and_both_report_it() -> None:
     simulation = start_simulation(4)
     later = simulation.start_duplicate("d2")
     simulation.run(simulation.now + 10)
@@ -125,7 +131,7 @@
     assert simulation.views_agree()
 
 
-def test_a_planned_leave_is_no_failure_and_a_forgotten_one_is_called_no_more() -> None:
+def test_a_planned_leave_is_no_failure_and_a_forgotten_member_is_pinged_no_more() -> None:
     simulation = start_simulation(5)
     simulation.leave("d1")
     simulation.kill("d2")
@@ -141,7 +147,7 @@
     )
 
 
-def test_lameduck_and_load_are_told() -> None:
+def test_lameduck_and_load_are_disseminated() -> None:
     simulation = start_simulation(3)
     view, other = simulation.hosts["d1"].view, simulation.hosts["d0"].view
     assert view and other
@@ -154,7 +160,7 @@
     assert {by for _, by in events(simulation, "lameduck", "d1")} == {"d0", "d2"}
 
 
-def test_reach_tells_which_site_is_heard_by_whom() -> None:
+def test_reachability_shows_which_sites_each_member_reaches() -> None:
     simulation = start_simulation(6)
     for one in ("d1", "d4"):  # site s1
         for other in ("d0", "d2", "d3", "d5"):
@@ -167,10 +173,10 @@
     assert all(share == 0.0 for share in cut.reachability_fractions(simulation.now).get("s0", {}).values())
 
 
-# Bad input
+# Malformed and forged input
 
 
-def lone() -> MembershipView:
+def create_view() -> MembershipView:
     return MembershipView(ViewSettings("fleet", "me", "s", "127.0.0.1:1", 1000, 7, max_members=100), 0.0)
 
 
@@ -178,38 +184,40 @@
     return msgspec.structs.replace(MessageHeader("fleet", "other", 2000, 9, "127.0.0.1:2", 0, 0), **changes)
 
 
-def gossip(*told: MemberRecord, **changes: object) -> bytes:
-    return messages.encode(messages.Gossip(header(**changes), told))
+def gossip(*records: MemberRecord, **changes: object) -> bytes:
+    return messages.encode(messages.Gossip(header(**changes), records))
 
 
-ME = MemberRecord("me", "s", "127.0.0.1:1", 1000, 7, 0, ALIVE)
-GOOD = MemberRecord("other", "s", "127.0.0.1:2", 2000, 9, 0, ALIVE)
+OWN_RECORD = MemberRecord("me", "s", "127.0.0.1:1", 1000, 7, 0, ALIVE)
+OTHER_RECORD = MemberRecord("other", "s", "127.0.0.1:2", 2000, 9, 0, ALIVE)
 
 
-def test_what_is_no_word_of_this_fleet_is_counted_and_changes_nothing() -> None:
-    view = lone()
-    good = gossip(GOOD)
-    ahead = msgspec.structs.replace(ME, incarnation=1 << 20, state=FAILED)
-    bad = [
-        b"", b"x", good[:-3], good + b"\0" * 2000, good.replace(b"ld\x01", b"ld\x02", 1),
+def test_malformed_and_foreign_datagrams_are_counted_and_change_nothing() -> None:
+    view = create_view()
+    valid = gossip(OTHER_RECORD)
+    far_ahead = msgspec.structs.replace(OWN_RECORD, incarnation=1 << 20, state=FAILED)
+    invalid = [
+        b"", b"x", valid[:-3], valid + b"\0" * 2000, valid.replace(b"ld\x01", b"ld\x02", 1),
         b"ld\x01" + b"\x99" * 50,
-        gossip(GOOD, fleet="another"), gossip(ahead),
+        gossip(OTHER_RECORD, fleet="another"), gossip(far_ahead),
     ]  # fmt: skip
-    for data in bad:
+    for data in invalid:
         view.receive_datagram(1.0, data)
     assert (
-        view.counters.refused == len(bad)
+        view.counters.refused == len(invalid)
         and set(view.member_table.members) == {"me"}
-        and view.local.record == ME
+        and view.local.record == OWN_RECORD
     )
     assert (
         sum(isinstance(effect, ViewEvent) and effect.name == "refused" for effect in view.advance(1.0)) == 1
     )
 
 
-def test_a_word_that_declares_this_one_dead_is_refuted() -> None:
-    view = lone()
-    view.receive_datagram(1.0, gossip(GOOD, msgspec.structs.replace(ME, incarnation=3, state=FAILED)))
+def test_a_record_that_declares_the_local_member_failed_is_refuted() -> None:
+    view = create_view()
+    view.receive_datagram(
+        1.0, gossip(OTHER_RECORD, msgspec.structs.replace(OWN_RECORD, incarnation=3, state=FAILED))
+    )
     assert (view.local.record.state, view.local.record.incarnation) == (ALIVE, 4)
     sent = [
         messages.decode_datagram(effect.data)
@@ -219,56 +227,56 @@
     assert any(view.local.record in message.records for message in sent)
 
 
-def test_a_datagram_that_claims_this_ones_name_is_asked_before_it_is_believed() -> None:
-    """One made-up datagram of a later start made a living member step down."""
-    view = lone()
-    claim = {"sender": "me", "generation": 5000, "boot_id": 3}
+def test_a_claim_of_the_local_name_is_challenged_before_it_is_believed() -> None:
+    """A single forged datagram of a later start made a running member step down."""
+    view = create_view()
+    claimed_header = {"sender": "me", "generation": 5000, "boot_id": 3}
     for at in (1.0, 1.1, 5.0):
-        view.receive_datagram(at, gossip(**claim))
-        view.receive_datagram(at, messages.encode(messages.Ack(header(**claim), 99)))
+        view.receive_datagram(at, gossip(**claimed_header))
+        view.receive_datagram(at, messages.encode(messages.Ack(header(**claimed_header), 99)))
         view.advance(at)
     assert view.status.value == "here"
-    view.receive_datagram(9.0, gossip(**claim))
+    view.receive_datagram(9.0, gossip(**claimed_header))
     pings = [
         messages.decode_datagram(effect.data)
         for effect in view.advance(9.0)
         if isinstance(effect, SendDatagram)
     ]
     number = next(ping.sequence for ping in pings if isinstance(ping, messages.Ping) and ping.target == "me")
-    view.receive_datagram(9.1, messages.encode(messages.Ack(header(**claim), number)))
+    view.receive_datagram(9.1, messages.encode(messages.Ack(header(**claimed_header), number)))
     assert view.status.value == "stepped down"
 
 
-def test_ten_thousand_made_up_members_take_no_more_than_their_bound() -> None:
-    view = lone()
+def test_ten_thousand_forged_members_stay_within_the_bounds() -> None:
+    view = create_view()
     for number in range(0, 10000, 8):
-        made = [
+        forged_records = [
             MemberRecord(f"m{each}", "s", f"127.0.0.1:{each}", 1, 1, 0, ALIVE)
             for each in range(number, number + 8)
         ]
-        view.receive_datagram(1.0 + number / 1000, gossip(*made))
+        view.receive_datagram(1.0 + number / 1000, gossip(*forged_records))
         view.advance(1.0 + number / 1000)
     assert len(view.member_table.members) == 100 and view.queued_records <= 100 and view.pending_timers < 300
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.data())
-def test_spoilt_datagrams_and_frames_end_in_a_count(data: st.DataObject) -> None:
-    view = lone()
-    view.receive_datagram(0.5, gossip(GOOD))
+def test_corrupted_datagrams_and_frames_are_counted(data: st.DataObject) -> None:
+    view = create_view()
+    view.receive_datagram(0.5, gossip(OTHER_RECORD))
     frames = [
-        gossip(GOOD, ME),
-        messages.encode(messages.Ping(header(), 1, "me", (GOOD,))),
+        gossip(OTHER_RECORD, OWN_RECORD),
+        messages.encode(messages.Ping(header(), 1, "me", (OTHER_RECORD,))),
         messages.encode(messages.PingRequest(header(), 2, "other", "127.0.0.1:2", ())),
         view.first_frame(0.5),
-        messages.encode(messages.SyncDifference(header(), (1, 2), (GOOD,))),
+        messages.encode(messages.SyncDifference(header(), (1, 2), (OTHER_RECORD,))),
     ]
-    raw = bytearray(data.draw(st.sampled_from(frames)))
+    corrupted = bytearray(data.draw(st.sampled_from(frames)))
     for _ in range(data.draw(st.integers(1, 4))):
-        raw[data.draw(st.integers(0, len(raw) - 1))] = data.draw(st.integers(0, 255))
-    view.receive_datagram(1.0, bytes(raw))
+        corrupted[data.draw(st.integers(0, len(corrupted) - 1))] = data.draw(st.integers(0, 255))
+    view.receive_datagram(1.0, bytes(corrupted))
     try:
-        view.receive_frame(1.0, bytes(raw))
+        view.receive_frame(1.0, bytes(corrupted))
     except messages.MalformedMessageError:
         assert view.counters.refused
     view.advance(1.0)
@@ -276,9 +284,9 @@
 
 
 class Faults(RuleBasedStateMachine):
-    """Any faults in any order; once all are over, all views are equal again."""
+    """Random faults in random order; once all have ended, all views become equal again."""
 
-    names = st.sampled_from([f"d{place}" for place in range(6)])
+    names = st.sampled_from([f"d{number}" for number in range(6)])
 
     def __init__(self) -> None:
         super().__init__()
@@ -315,7 +323,7 @@
         simulation.network.links.clear()
         simulation.network.loss = 0.0
         simulation.run(max([simulation.now, *(host.stalled_until for host in simulation.hosts.values())]))
-        # Each that died has to be found by those left: of many at once that takes over ten periods.
+        # The remaining members must detect each crash; with many at once that takes more than ten periods.
         assert simulation.settle(60.0) <= 25.0, [view.settings.name for view in simulation.active_views()]
 
 
@@ -326,23 +334,25 @@
 # Processes
 
 
-# Scripts are played by processes several at a time, since most of their time is waiting; long ones together.
-LONG = ("sleeper", "flapping", "rolling", "worse")
+# Scripts spend most of their time waiting, so several are played at once; the long ones form one group.
+LONG_SCRIPTS = ("sleeper", "flapping", "rolling", "worse")
 
 
-@pytest.mark.parametrize("part", range(4))
-def test_scripts_hold_among_processes(part: int, tmp_path: Path) -> None:
-    short = [name for name in shipped_scripts() if name not in LONG]
-    names = LONG if part == 3 else short[part::3]
+@pytest.mark.parametrize("group", range(4))
+def test_scripts_pass_with_processes(group: int, tmp_path: Path) -> None:
+    short_scripts = [name for name in shipped_scripts() if name not in LONG_SCRIPTS]
+    names = LONG_SCRIPTS if group == 3 else short_scripts[group::3]
 
-    async def together() -> list[Verdict]:
+    async def play_scripts() -> list[Verdict]:
         runs = [
-            ProcessFleet(load_script(name), seed, tmp_path / name, address_octet=20 + seed + 10 * part).play()
+            ProcessFleet(
+                load_script(name), seed, tmp_path / name, address_octet=20 + seed + 10 * group
+            ).play()
             for seed, name in enumerate(names, start=1)
         ]
         return await asyncio.gather(*runs)
 
-    for verdict in asyncio.run(together()):
+    for verdict in asyncio.run(play_scripts()):
         script = load_script(verdict.script)
         print("\n".join(format_timeline(script, verdict)))
         assert verdict.passed, (verdict.script, verdict.broken)
@@ -350,35 +360,39 @@
         assert rules["one final answer, in time"] > 3 or not script.step
 
 
-def test_operators_see_watch_and_forget(tmp_path: Path) -> None:
+def test_operators_view_watch_and_forget_members(tmp_path: Path) -> None:
     script = load_script("start")
     script.members = 3
     fleet = ProcessFleet(script, 1, tmp_path, address_octet=19)
 
-    def told(*arguments: str) -> str:
-        done = CliRunner().invoke(main, ["fleet", *arguments])
-        assert done.exit_code == 0, done.output
-        return done.output
+    def run_command(*arguments: str) -> str:
+        result = CliRunner().invoke(main, ["fleet", *arguments])
+        assert result.exit_code == 0, result.output
+        return result.output
 
     async def run() -> None:
         try:
             await fleet.start_members()
             assert await fleet.settle(50.0) < 50.0
-            door = f"{fleet.members['d1'].host}:9100"
-            shown = await asyncio.to_thread(told, "view", door)
-            assert "d1 in rehearsal (here)" in shown and shown.count(" alive ") == 3
+            operators_address = f"{fleet.members['d1'].host}:9100"
+            view_output = await asyncio.to_thread(run_command, "view", operators_address)
+            assert "d1 in rehearsal (here)" in view_output and view_output.count(" alive ") == 3
             watching = asyncio.create_task(
-                asyncio.to_thread(told, "watch", door, "--json", "--every", "0.5", "--count", "12")
+                asyncio.to_thread(
+                    run_command, "watch", operators_address, "--json", "--every", "0.5", "--count", "12"
+                )
             )
             await asyncio.sleep(0.6)
             await fleet.members["d2"].kill(signal.SIGKILL)
             lines = [json.loads(line) for line in (await watching).splitlines()]
             states = [line["state"] for line in lines if line["member"] == "d2" and "state" in line]
             assert states[0] == "alive" and states[-1] == "failed"
-            assert "held to have left" in await asyncio.to_thread(told, "forget", "d2", door)
-            done = CliRunner().invoke(main, ["fleet", "forget", "d3", door])
-            assert done.exit_code == 1 and "no member 'd3' that failed" in done.output
-            view = json.loads(await asyncio.to_thread(told, "view", door, "--json"))
+            assert "held to have left" in await asyncio.to_thread(
+                run_command, "forget", "d2", operators_address
+            )
+            result = CliRunner().invoke(main, ["fleet", "forget", "d3", operators_address])
+            assert result.exit_code == 1 and "no member 'd3' that failed" in result.output
+            view = json.loads(await asyncio.to_thread(run_command, "view", operators_address, "--json"))
             assert {each["name"]: each["state"] for each in view["members"]}["d2"] == "left"
         finally:
             await fleet.shut_down()
@@ -386,12 +400,12 @@
     asyncio.run(run())
 
 
-def test_other_seeds_are_taken_at_sighup_and_join_two_fleets(tmp_path: Path) -> None:
+def test_new_seeds_applied_at_sighup_join_two_fleets(tmp_path: Path) -> None:
     script = load_script("start")
     script.members, script.seeds = 2, ["d1"]
     fleet = ProcessFleet(script, 1, tmp_path, address_octet=18)
 
-    async def members(name: str) -> int:
+    async def member_count(name: str) -> int:
         view = await fleet.members[name].query("/_fleet")
         return len(view["members"]) if view else 0
 
@@ -400,33 +414,33 @@
         for receiver in fleet.receivers.values():
             await receiver.start(0.0)
         try:
-            for member, seed in ((first, "d1"), (second, "d2")):  # each knows itself alone
+            for member, seed in ((first, "d1"), (second, "d2")):  # each knows only itself
                 await fleet.prepare(member)
                 fleet.configure(member, [seed])
                 await member.launch()
             for member in (first, second):
                 await member.wait_ready()
             await asyncio.sleep(2.0)
-            assert [await members("d1"), await members("d2")] == [1, 1]
+            assert [await member_count("d1"), await member_count("d2")] == [1, 1]
             fleet.configure(second, ["d1"])
             assert second.process
             second.process.send_signal(signal.SIGHUP)
             assert await fleet.settle(50.0) < 50.0
-            assert [await members("d1"), await members("d2")] == [2, 2]
+            assert [await member_count("d1"), await member_count("d2")] == [2, 2]
         finally:
             await fleet.shut_down()
 
     asyncio.run(run())
 
 
-def test_without_the_table_nothing_of_it_is_imported() -> None:
+def test_without_a_fleet_table_the_package_is_not_imported() -> None:
     program = (
         "import sys, laureldock.cli.serve; print([n for n in sys.modules if 'fleet' in n or n == 'xxhash'])"
     )
-    done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
 
 
 def test_counters_shown_to_operators_keep_their_names() -> None:
-    names = list(asdict(lone().counters))
+    names = list(asdict(create_view().counters))
     assert names == ["datagrams", "refused", "sent", "bytes_sent", "streams", "slept", "refuted"]
--- a/tests/test_fleet_trace.py
+++ b/tests/test_fleet_trace.py
@@ -1,7 +1,7 @@
-"""Golden traces: a SHA-256 digest over all datagrams, frames and events of simulated runs of fixed seeds.
+"""Golden traces: a SHA-256 digest over all datagrams, frames and events of simulated runs with fixed seeds.
 
-A refactoring must leave the digests as they are. A change of protocol or timing changes them; update them in
-the commit that makes that change, and say so there.
+A refactoring must not change the digests. A change of the protocol or its timing does; update them in the
+commit that makes that change, and say so there.
 """
 
 from __future__ import annotations
@@ -31,24 +31,28 @@
 @pytest.mark.parametrize("name", sorted(GOLDEN_DIGESTS))
 def test_simulated_run_matches_golden_trace(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     digest = hashlib.sha256()
-    send, begin, frame = Simulation.send, MembershipView.first_frame, MembershipView.receive_frame
+    send, first_frame, receive_frame = (
+        Simulation.send,
+        MembershipView.first_frame,
+        MembershipView.receive_frame,
+    )
 
     def recorded_send(simulation: Simulation, sender: str, address: str, data: bytes) -> None:
         digest.update(f"{sender} {address} {len(data)} ".encode() + data)
         send(simulation, sender, address, data)
 
-    def recorded_begin(view: MembershipView, now: float) -> bytes:
-        data = begin(view, now)
+    def recorded_first_frame(view: MembershipView, now: float) -> bytes:
+        data = first_frame(view, now)
         digest.update(f"first frame {len(data)} ".encode() + data)
         return data
 
     def recorded_frame(view: MembershipView, now: float, data: bytes) -> bytes | None:
-        answer = frame(view, now, data)
-        digest.update(f"answer {answer is None} ".encode() + (answer or b""))
-        return answer
+        response = receive_frame(view, now, data)
+        digest.update(f"answer {response is None} ".encode() + (response or b""))
+        return response
 
     monkeypatch.setattr(Simulation, "send", recorded_send)
-    monkeypatch.setattr(MembershipView, "first_frame", recorded_begin)
+    monkeypatch.setattr(MembershipView, "first_frame", recorded_first_frame)
     monkeypatch.setattr(MembershipView, "receive_frame", recorded_frame)
     script = load_script(name)
     script.members = 12
@@ -60,16 +64,16 @@
     assert digest.hexdigest() == GOLDEN_DIGESTS[name]
 
 
-def test_members_whose_counters_are_equal_probe_in_orders_of_their_own() -> None:
-    """They went through the fleet in step, and all of a period probed one and the same member."""
+def test_members_with_equal_counters_probe_in_different_orders() -> None:
+    """Such members used to probe in the same order, so that all probed the same member in each period."""
     names = [f"d{number}" for number in range(50)]
     orders = [SeededRandom(7, name, count(1)).shuffled(names) for name in names]
     assert len({tuple(order) for order in orders}) == len(orders)
     assert len({order[0] for order in orders}) > 20
 
 
-def until_suspected(size: int, seed: int) -> float:
-    """Periods from the crash of a member that joined three periods before to the first suspicion of it."""
+def periods_until_suspected(size: int, seed: int) -> float:
+    """Return the periods from a crash, three periods after the member joined, to its first suspicion."""
     names = {f"d{number}": f"zone{number % 3}" for number in range(size)}
     simulation = Simulation({**names, "joiner": "zone0"}, seed=seed)
     for name in names:
@@ -88,17 +92,17 @@
 
 
 @pytest.mark.parametrize("size", [20, 60])
-def test_a_member_that_crashes_soon_after_it_joined_is_suspected_as_soon_as_any(size: int) -> None:
-    """It was in nobody's round before the next one: 14 to 16 periods of 20 members, up to 18 of 60."""
-    assert max(until_suspected(size, seed) for seed in range(5)) < 8.0
+def test_a_member_that_crashes_soon_after_joining_is_suspected_without_delay(size: int) -> None:
+    """It used to be probed from the next round only: after 14 to 16 periods of 20 members, up to 18 of 60."""
+    assert max(periods_until_suspected(size, seed) for seed in range(5)) < 8.0
 
 
-def test_a_member_is_once_in_a_round_however_often_it_returns() -> None:
-    round_ = ProbeRound(SeededRandom(7, "d0", count(1)))
-    round_.add("early")
-    assert round_.take() is None  # no round is under way
-    round_.begin(["d1", "d2"])
+def test_a_member_occurs_once_per_round_however_often_it_returns() -> None:
+    probe_round = ProbeRound(SeededRandom(7, "d0", count(1)))
+    probe_round.add("early")
+    assert probe_round.take() is None  # no round is in progress
+    probe_round.begin(["d1", "d2"])
     for _ in range(100):
-        round_.add("d3")
-        round_.add("d1")
-    assert sorted(iter(round_.take, None)) == ["d1", "d2", "d3"]
+        probe_round.add("d3")
+        probe_round.add("d1")
+    assert sorted(iter(probe_round.take, None)) == ["d1", "d2", "d3"]
