--- a/laureldock/rehearsal/fleet/processes.py
+++ b/laureldock/rehearsal/fleet/processes.py
@@ -66,8 +66,8 @@
         self.network = RelayNetwork(seed)
         self.account = Account()
         self.receivers = {
-            name: Receiver(name, owner, self.account, seed + number)
-            for number, (name, owner) in enumerate(
+            name: Receiver(name, destination, self.account, seed + number)
+            for number, (name, destination) in enumerate(
                 {"bank-1": "bank", "bank-2": "bank", "bakery-1": "bakery"}.items()
             )
         }
--- a/laureldock/rehearsal/fleet/relay.py
+++ b/laureldock/rehearsal/fleet/relay.py
@@ -42,6 +42,7 @@
         self.rng.seed(self.seed)
 
     def link(self, sender: str, receiver: str) -> Link:
+        """Return the link from one member or receiver to another."""
         return self.links.setdefault((sender, receiver), Link())
 
     def transit_delay(self, link: Link, size: int) -> float:
@@ -112,6 +113,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def open(self, datagrams: bool = True) -> None:
+        """Listen for streams and, with `datagrams`, for datagrams. Raises OSError."""
         self.server = await asyncio.start_server(self.accept, *self.listen_address)
         if datagrams:
             endpoint = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -121,6 +123,7 @@
             self.datagrams = endpoint[0]
 
     async def close(self) -> None:
+        """Stop listening, and close all streams."""
         if self.datagrams:
             self.datagrams.close()
         if self.server:
--- a/laureldock/rehearsal/fleet/script.py
+++ b/laureldock/rehearsal/fleet/script.py
@@ -40,7 +40,7 @@
     times: Annotated[int, Meta(ge=1)] = 1  # how often in all
     one_way: bool = False
     folder: bool = False
-    clock: float = 0.0  # seconds
+    clock: float = 0.0  # seconds of deviation
     seeds: list[str] = msgspec.field(default_factory=list)  # of an older configuration; default: the script's
     loss: Fraction = 0.0
     doubled: Fraction = 0.0
@@ -62,9 +62,11 @@
     most_events: float = 0.0  # mean per member and period; 0 for no limit
 
     def member_names(self) -> list[str]:
+        """Return the names of all members."""
         return [f"d{number}" for number in range(1, self.members + 1)]
 
     def site_of(self, name: str) -> str:
+        """Return the site of a member."""
         return f"s{1 + (int(name.removeprefix('d')) - 1) % self.sites}"
 
     def end_time(self) -> float:
--- a/laureldock/rehearsal/fleet/verdict.py
+++ b/laureldock/rehearsal/fleet/verdict.py
@@ -34,9 +34,11 @@
 
     @property
     def passed(self) -> bool:
+        """Whether all requirements of the script were met."""
         return not self.broken
 
     def fields(self) -> dict[str, Any]:
+        """Return the result as `--json` prints it."""
         return {
             "script": self.script,
             "seed": self.seed,
--- a/tests/test_fleet_trace.py
+++ b/tests/test_fleet_trace.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("name", sorted(GOLDEN_DIGESTS))
 def test_simulated_run_matches_golden_trace(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     digest = hashlib.sha256()
-    send, first_frame, receive_frame = (
+    original_send, original_first_frame, original_receive_frame = (
         Simulation.send,
         MembershipView.first_frame,
         MembershipView.receive_frame,
@@ -39,15 +39,15 @@
 
     def recorded_send(simulation: Simulation, sender: str, address: str, data: bytes) -> None:
         digest.update(f"{sender} {address} {len(data)} ".encode() + data)
-        send(simulation, sender, address, data)
+        original_send(simulation, sender, address, data)
 
     def recorded_first_frame(view: MembershipView, now: float) -> bytes:
-        data = first_frame(view, now)
+        data = original_first_frame(view, now)
         digest.update(f"first frame {len(data)} ".encode() + data)
         return data
 
     def recorded_frame(view: MembershipView, now: float, data: bytes) -> bytes | None:
-        response = receive_frame(view, now, data)
+        response = original_receive_frame(view, now, data)
         digest.update(f"answer {response is None} ".encode() + (response or b""))
         return response
 
