--- a/laureldock/assembly.py
+++ b/laureldock/assembly.py
@@ -17,11 +17,11 @@
 from laureldock.fronts.resp_server import Clients
 from laureldock.outlets.lines import Lines
 from laureldock.outlets.platform import Notices
-from laureldock.setup.entries import term_book
+from laureldock.setup.entries import index_terms
 from laureldock.setup.faults import dotted
 from laureldock.setup.plan import Plan
 from laureldock.setup.reload import changes, refused
-from laureldock.setup.terms import TermBook
+from laureldock.setup.terms import TermsIndex
 from laureldock.setup.units import Address
 from laureldock.sockets.reactor import SteadyReactor, listen_error
 from laureldock.sockets.room import Room
@@ -47,13 +47,13 @@
     """A plan with all that a reload would else work out while mails wait."""
 
     plan: Plan
-    terms: TermBook
+    terms: TermsIndex
     listing: Listing
 
     @classmethod
     def of(cls, plan: Plan) -> Prepared:
         """Touches nothing else: it may be called in any thread."""
-        return cls(plan, term_book(plan)[0], listing(plan))
+        return cls(plan, index_terms(plan)[0], listing(plan))
 
 
 class Assembly:
@@ -74,7 +74,9 @@
         store = store or Spool(state, plan.limits.disk)
         self.room = Room.of(plan.limits.sockets)
         self.catalog = catalog_of(plan)
-        known, terms = (plan, None) if self.catalog is None else (self.catalog.live, self.catalog.term_book)
+        known, terms = (
+            (plan, None) if self.catalog is None else (self.catalog.in_force, self.catalog.terms_index)
+        )
         book = Book(known, sockets=True, terms=terms)
         self.core = core = Dispatcher(plan.name, book, store, reactor, ended_for)
         self.clients = [
@@ -280,7 +282,7 @@
         except RefusedChangeError as refusal:
             return [f"{dotted(fault.path)}: {fault.reason}" for fault in refusal.faults]
         self.catalog = fresh
-        self.core.book.retell(fresh.live, fresh.term_book)
+        self.core.book.retell(fresh.in_force, fresh.terms_index)
         return []
 
     # A controller's changes
@@ -314,9 +316,9 @@
         catalog, core = self.catalog, self.core
         core.book.change(applied, catalog)
         names = {put.name: None for put in applied.endpoints_put}
-        for destination in applied.rekinded:
+        for destination in applied.kind_changed:
             names |= dict.fromkeys(catalog.endpoint_names.get(destination, ()))
-        put = listing_of(catalog.live, [catalog.endpoints[name] for name in names])
+        put = listing_of(catalog.in_force, [catalog.endpoints[name] for name in names])
         self.listed.change(put, [removed.name for removed in applied.endpoints_removed])
         core.counters["configuration changes"] += 1
         core.log.info(
--- a/laureldock/benchlink/instance.py
+++ b/laureldock/benchlink/instance.py
@@ -10,7 +10,7 @@
 
 from laureldock import interface as face
 from laureldock.control import Control
-from laureldock.setup.platform import NS, Fields, of_profile
+from laureldock.setup.platform import NS, Fields, plan_from_profile
 from laureldock.tariff import Book, Entry
 
 ENDINGS = {
@@ -44,7 +44,7 @@
 class Instance:
     def __init__(self, number: int, seed: int, profile: Fields, now: float) -> None:
         self.number = number
-        self.book = Book(of_profile(seed, profile, False))
+        self.book = Book(plan_from_profile(seed, profile, False))
         self.by_id: dict[str, Held] = {}
         self.by_mail: dict[face.Mail, Held] = {}
         self.leaving: list[Held] = []
--- a/laureldock/cli/config_changes.py
+++ b/laureldock/cli/config_changes.py
@@ -31,7 +31,7 @@
     from laureldock.cli.config import refuse
     from laureldock.controller.client import UnreachableError, propose
     from laureldock.replication.messages import Rejected
-    from laureldock.setup.changes_file import placed_faults, read_changes
+    from laureldock.setup.changes_file import locate_change_faults, read_changes
     from laureldock.setup.faults import Fault, RefusedError
 
     try:
@@ -45,7 +45,7 @@
         raise click.ClickException(str(fault)) from None
     if isinstance(answer, Rejected):
         faults = [Fault(each.path, each.reason, each.allowed, each.also or None) for each in answer.faults]
-        refuse(RefusedError(placed_faults(faults, places)), as_json, MAX_TOLD, answer.count)
+        refuse(RefusedError(locate_change_faults(faults, places)), as_json, MAX_TOLD, answer.count)
         return
     position = answer.position
     if as_json:
--- a/laureldock/cli/controller.py
+++ b/laureldock/cli/controller.py
@@ -15,7 +15,7 @@
 from laureldock.logs import Logs
 from laureldock.replication.change_log import SpoiltLogError
 from laureldock.setup.catalog import RefusedChangeError
-from laureldock.setup.faults import Fault, Placed, RefusedError
+from laureldock.setup.faults import Fault, LocatedFault, RefusedError
 from laureldock.setup.reading import load
 from laureldock.sockets.reactor import SteadyReactor
 
@@ -32,7 +32,7 @@
         plan = load(file).plan
         if plan.controller is None:
             raise RefusedError(
-                [Placed(file, 0, Fault(("controller",), "is missing", "a table [controller]"))]
+                [LocatedFault(file, 0, Fault(("controller",), "is missing", "a table [controller]"))]
             )
     except RefusedError as refused:
         refuse(refused)
@@ -45,7 +45,7 @@
         service = ControllerService(plan, Path(file).parent / plan.controller.state, reactor)
         service.start()
     except RefusedChangeError as refused_state:
-        found = [Placed(f"{file}: state", 0, fault) for fault in refused_state.faults]
+        found = [LocatedFault(f"{file}: state", 0, fault) for fault in refused_state.faults]
         click.echo("what was accepted does not fit this file any more:", err=True)
         refuse(RefusedError(found))
     except (SpoiltLogError, CannotListenError, OSError, ValueError) as fault:
--- a/laureldock/cli/serve.py
+++ b/laureldock/cli/serve.py
@@ -19,7 +19,7 @@
 from laureldock.logs import Logs
 from laureldock.setup.faults import RefusedError, dotted
 from laureldock.setup.plan import Plan
-from laureldock.setup.platform import of_platform
+from laureldock.setup.platform import plan_from_platform
 from laureldock.setup.reading import Override, load, overrides_of
 from laureldock.setup.rules import Bounds, check
 from laureldock.sockets.reactor import Reread, SteadyReactor
@@ -66,8 +66,8 @@
     for name, value in told.items():
         source = ctx.get_parameter_source(name)
         origin = "environment" if source is click.core.ParameterSource.ENVIRONMENT else "flag"
-        named = f"LAURELDOCK_{name.upper()}" if origin == "environment" else f"--{name.replace('_', '-')}"
-        overrides += overrides_of({name: value}, f"{origin} {named}")
+        label = f"LAURELDOCK_{name.upper()}" if origin == "environment" else f"--{name.replace('_', '-')}"
+        overrides += overrides_of({name: value}, f"{origin} {label}")
     # Until the handlers stand, SIGHUP would end the process; what it tells meanwhile is read once it runs.
     early: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
@@ -75,7 +75,7 @@
     doubts: list[str] = []
     try:
         if file is None:
-            plan, bounds = of_platform(os.environ)
+            plan, bounds = plan_from_platform(os.environ)
             doubts = faults_of(plan, bounds)
             state = Path(plan.state)
             if not state.is_dir():
@@ -112,7 +112,7 @@
     def retold() -> None:
         """The platform's file anew: the list's address, queue classes, limits; or nothing of it."""
         try:
-            plan, bounds = of_platform(os.environ, again=True)
+            plan, bounds = plan_from_platform(os.environ, again=True)
             if faults := faults_of(plan, bounds):
                 raise ValueError("; ".join(faults[:20]))
         except ValueError as fault:
--- a/laureldock/setup/catalog.py
+++ b/laureldock/setup/catalog.py
@@ -18,10 +18,10 @@
     Groups,
     PlaceIndex,
     PlaceState,
-    put_in,
-    take_out,
+    add_to_group,
+    remove_from_group,
 )
-from laureldock.setup.catalog_rules import Touched, duplicates, faults_of, misnamed
+from laureldock.setup.catalog_rules import AffectedPlaces, duplicates, faults_of, misnamed_entries
 from laureldock.setup.changes import (
     CatalogEntry,
     Change,
@@ -36,19 +36,19 @@
     entry_digest,
 )
 from laureldock.setup.entries import (
+    add_settings,
     class_pairs,
     destination_pairs,
     endpoint_pairs,
-    enter,
+    index_terms,
     kind_of,
-    named,
+    remove_settings,
+    selected_scopes,
     settings_of,
-    term_book,
-    withdraw,
 )
 from laureldock.setup.faults import Fault, Path
 from laureldock.setup.rules import Bounds
-from laureldock.setup.terms import Level, Spot, TermBook
+from laureldock.setup.terms import Level, Scope, TermsIndex
 
 ENTRY_TYPES: dict[EntryKind, Any] = {
     EntryKind.ENDPOINT: EndpointEntry,
@@ -90,7 +90,7 @@
     """Settings that hold anew, or no more, for a queue class ("": all) at a place."""
 
     queue_class: str
-    spot: Spot
+    scope: Scope
     settings: frozenset[str]
 
 
@@ -101,7 +101,7 @@
     endpoints_put: list[EndpointPut] = field(default_factory=list)
     endpoints_removed: list[EndpointRemoved] = field(default_factory=list)
     destinations: list[str] = field(default_factory=list)  # their kind or settings
-    rekinded: list[str] = field(default_factory=list)  # those of them whose kind is another
+    kind_changed: list[str] = field(default_factory=list)  # those of them whose kind is another
     selections: list[Selection] = field(default_factory=list)  # by [[terms]] and queue classes
     classes: list[str] = field(default_factory=list)
     customers: list[str] = field(default_factory=list)
@@ -119,25 +119,25 @@
 
     def __init__(self, base: model.Plan, bounds: Bounds | None = None) -> None:
         self.base, self.bounds = base, bounds or Bounds()
-        self.live = structs.replace(
+        self.in_force = structs.replace(
             base, destinations={}, customers={}, classes=dict(base.classes), endpoints=[], terms=[]
         )
-        self.term_book: TermBook = term_book(self.live)[0]
+        self.terms_index: TermsIndex = index_terms(self.in_force)[0]
         self.digest = 0
         self.endpoints: dict[str, model.Endpoint] = {}
         self.terms: dict[str, model.Entry] = {}
         self._classes: dict[str, ClassSettings] = {}
         self._held: dict[EntryKind, dict[str, Any]] = {
             EntryKind.ENDPOINT: self.endpoints,
-            EntryKind.DESTINATION: self.live.destinations,
+            EntryKind.DESTINATION: self.in_force.destinations,
             EntryKind.TERMS: self.terms,
-            EntryKind.CUSTOMER: self.live.customers,
+            EntryKind.CUSTOMER: self.in_force.customers,
             EntryKind.CLASS: self._classes,
         }
         self.endpoint_names: Groups[str, str] = {}  # by destination
         self.addresses = AddressIndex()
         self.places = PlaceIndex()
-        self.terms_naming: Groups[Spot, str] = {}  # names of terms by each destination and route they name
+        self.terms_by_scope: Groups[Scope, str] = {}  # names of terms by each destination and route they name
 
     def __len__(self) -> int:
         return sum(map(len, self._held.values()))
@@ -156,12 +156,12 @@
     def plan(self) -> model.Plan:
         """The whole file that means the same."""
         return structs.replace(
-            self.live,
+            self.in_force,
             source=model.Source(),
             controller=None,
-            destinations=dict(self.live.destinations),
-            customers=dict(self.live.customers),
-            classes=dict(self.live.classes),
+            destinations=dict(self.in_force.destinations),
+            customers=dict(self.in_force.customers),
+            classes=dict(self.in_force.classes),
             endpoints=[self.endpoints[name] for name in sorted(self.endpoints)],
             terms=[self.terms[name] for name in sorted(self.terms)],
         )
@@ -173,7 +173,7 @@
         mistyped; a dispatcher that follows it may have refused the change that put the entry.
         """
         keys = [*(entry.key for entry in change.puts), *change.removals]
-        faults = [*duplicates(keys), *misnamed(change.puts)]
+        faults = [*duplicates(keys), *misnamed_entries(change.puts)]
         values: dict[EntryKey, CatalogEntry | None] = {entry.key: entry for entry in change.puts}
         for key in change.removals:
             if self.get(key) is not None:
@@ -186,7 +186,7 @@
         """All entries anew: what differs is applied as one change. RefusedChangeError."""
         told = list(entries)
         values: dict[EntryKey, CatalogEntry | None] = {entry.key: entry for entry in told}
-        faults = [*duplicates([entry.key for entry in told]), *misnamed(told)]
+        faults = [*duplicates([entry.key for entry in told]), *misnamed_entries(told)]
         for kind, held in self._held.items():
             for name in held:
                 values.setdefault(EntryKey(kind, name), None)
@@ -208,7 +208,7 @@
         value = self._held[key.kind].get(key.name)
         return bool(value is None if entry is None else value == entry.value)
 
-    def _exchange(self, values: Values, faults: list[Fault]) -> Touched:
+    def _exchange(self, values: Values, faults: list[Fault]) -> AffectedPlaces:
         """Put and remove unchecked; called with what was held before, it undoes that.
 
         Faults of settings that cannot stand where they do are added to those handed in.
@@ -222,15 +222,15 @@
                 self.places.move(old, new)
         return touched
 
-    def _states(self, touched: Touched) -> list[PlaceState | None]:
+    def _states(self, touched: AffectedPlaces) -> list[PlaceState | None]:
         return [
             *map(self.destination_state, touched.destinations),
             *map(self.route_state, touched.routes),
         ]
 
-    def _touched(self, values: Values) -> Touched:
+    def _touched(self, values: Values) -> AffectedPlaces:
         """Before it is made: what the change names, what that selects, and what it did name."""
-        touched = Touched()
+        touched = AffectedPlaces()
         for key, entry in values.items():
             value = None if entry is None else entry.value
             for each in (self._held[key.kind].get(key.name), value):
@@ -238,8 +238,8 @@
                     touched.destinations[each.destination] = (str(key.kind), key.name)
                     touched.routes[key.name] = (str(key.kind), key.name)
                 elif isinstance(each, model.Entry):
-                    for queue_class, spot in named(each):
-                        touched.select(queue_class, spot)
+                    for queue_class, scope in selected_scopes(each):
+                        touched.select(queue_class, scope)
             if key.kind is EntryKind.DESTINATION:
                 touched.select("", (Level.DESTINATION, key.name))
             elif key.kind is EntryKind.CLASS and key.name in self.base.classes:
@@ -251,20 +251,22 @@
 
     def destination_state(self, destination: str) -> PlaceState | None:
         """None while nothing is listed there."""
-        if destination not in self.endpoint_names and destination not in self.live.destinations:
+        if destination not in self.endpoint_names and destination not in self.in_force.destinations:
             return None
-        own = self.term_book.set_at((Level.DESTINATION, destination))
-        return PlaceState((destination, ""), kind_of(self.live, destination), own)
+        own = self.terms_index.own_settings((Level.DESTINATION, destination))
+        return PlaceState((destination, ""), kind_of(self.in_force, destination), own)
 
     def route_state(self, route: str) -> PlaceState | None:
         """None if it is not listed, or has no settings of its own."""
         endpoint = self.endpoints.get(route)
-        own = self.term_book.set_at((Level.ROUTE, route))
+        own = self.terms_index.own_settings((Level.ROUTE, route))
         if endpoint is None or not own:
             return None
         destination = endpoint.destination
-        at_destination = self.term_book.set_at((Level.DESTINATION, destination))
-        return PlaceState((destination, route), kind_of(self.live, destination), at_destination, own)
+        destination_settings = self.terms_index.own_settings((Level.DESTINATION, destination))
+        return PlaceState(
+            (destination, route), kind_of(self.in_force, destination), destination_settings, own
+        )
 
     def _set(self, key: EntryKey, entry: CatalogEntry | None, faults: list[Fault]) -> None:
         held = self._held[key.kind]
@@ -284,11 +286,11 @@
             self._rename_terms(key.name, before, held.get(key.name))
         owner_after = self._settings(key, held.get(key.name))
         if key.kind is EntryKind.CLASS and owner_after is not None:
-            self.live.classes[key.name] = owner_after  # type: ignore[assignment]
+            self.in_force.classes[key.name] = owner_after  # type: ignore[assignment]
         if owner_before is not None:
-            withdraw(self.term_book, owner_before, path, self._pairs(key, owner_before))
+            remove_settings(self.terms_index, owner_before, path, self._pairs(key, owner_before))
         if owner_after is not None:
-            faults += enter(self.term_book, owner_after, path, self._pairs(key, owner_after))
+            faults += add_settings(self.terms_index, owner_after, path, self._pairs(key, owner_after))
 
     def _settings(self, key: EntryKey, value: Any) -> model.Terms | None:
         """What holds settings by that key: of a queue class the base's, with the entry above it."""
@@ -300,9 +302,9 @@
         return value if isinstance(value, model.Terms) else None
 
     @staticmethod
-    def _pairs(key: EntryKey, owner: model.Terms) -> list[tuple[str, Spot]]:
+    def _pairs(key: EntryKey, owner: model.Terms) -> list[tuple[str, Scope]]:
         if isinstance(owner, model.Entry):
-            return list(named(owner))
+            return list(selected_scopes(owner))
         pairs = {
             EntryKind.CLASS: class_pairs,
             EntryKind.DESTINATION: destination_pairs,
@@ -314,9 +316,9 @@
         """In the indexes by destination and address; nothing is touched where it stays."""
         stays = before is not None and after is not None and before.destination == after.destination
         if before is not None and not stays:
-            take_out(self.endpoint_names, before.destination, name)
+            remove_from_group(self.endpoint_names, before.destination, name)
         if after is not None and not stays:
-            put_in(self.endpoint_names, after.destination, name)
+            add_to_group(self.endpoint_names, after.destination, name)
         if before is not None:
             self.addresses.discard(before.destination, before.address, name)
         if after is not None:
@@ -324,10 +326,10 @@
 
     def _rename_terms(self, name: str, before: model.Entry | None, after: model.Entry | None) -> None:
         """In the index by what they name."""
-        for entry, change in ((before, take_out), (after, put_in)):
-            for _, spot in named(entry) if entry is not None else ():
-                if spot[0] >= Level.DESTINATION:
-                    change(self.terms_naming, spot, name)
+        for entry, change in ((before, remove_from_group), (after, add_to_group)):
+            for _, scope in selected_scopes(entry) if entry is not None else ():
+                if scope[0] >= Level.DESTINATION:
+                    change(self.terms_by_scope, scope, name)
 
     @staticmethod
     def _entry(key: EntryKey, value: Any) -> CatalogEntry:
@@ -354,7 +356,7 @@
                     each.value.kind if isinstance(each, DestinationEntry) else None for each in (old, entry)
                 }
                 if len(kinds) > 1:
-                    found.rekinded.append(name)
+                    found.kind_changed.append(name)
             case TermsEntry():
                 found.selections += selections(old, entry)
             case CustomerEntry(name):
@@ -367,11 +369,13 @@
 
 def selections(before: CatalogEntry | None, after: CatalogEntry | None) -> Iterator[Selection]:
     """Of one entry, as it was and as it is: each place once."""
-    found: dict[tuple[str, Spot], frozenset[str]] = {}
+    found: dict[tuple[str, Scope], frozenset[str]] = {}
     for entry in (before, after):
         if isinstance(entry, TermsEntry | ClassEntry):
             settings = frozenset(setting for setting, _ in settings_of(entry.value))
-            for pair in class_pairs(entry.name) if isinstance(entry, ClassEntry) else named(entry.value):
+            for pair in (
+                class_pairs(entry.name) if isinstance(entry, ClassEntry) else selected_scopes(entry.value)
+            ):
                 found[pair] = found.get(pair, frozenset()) | settings
-    for (queue_class, spot), settings in found.items():
-        yield Selection(queue_class, spot, settings)
+    for (queue_class, scope), settings in found.items():
+        yield Selection(queue_class, scope, settings)
--- a/laureldock/setup/catalog_index.py
+++ b/laureldock/setup/catalog_index.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from laureldock.setup.terms import SetAt
+from laureldock.setup.terms import OwnSettings
 
 # A destination, and the name of one of its routes; "" for the destination itself.
 Place = tuple[str, str]
 # Kind of the destination, and what is set at the destination and at the route.
-Alike = tuple[str, SetAt, SetAt]
+Signature = tuple[str, OwnSettings, OwnSettings]
 
 Outer = TypeVar("Outer")
 Inner = TypeVar("Inner")
@@ -19,11 +19,11 @@
 Groups = dict[Outer, dict[Inner, None]]
 
 
-def put_in(groups: Groups[Outer, Inner], key: Outer, member: Inner) -> None:
+def add_to_group(groups: Groups[Outer, Inner], key: Outer, member: Inner) -> None:
     groups.setdefault(key, {})[member] = None
 
 
-def take_out(groups: Groups[Outer, Inner], key: Outer, member: Inner) -> None:
+def remove_from_group(groups: Groups[Outer, Inner], key: Outer, member: Inner) -> None:
     """Nothing where it was not in; no empty group is left behind."""
     members = groups.get(key, {})
     members.pop(member, None)
@@ -63,12 +63,12 @@
 
     place: Place
     kind: str
-    at_destination: SetAt
-    at_route: SetAt = ()
+    destination_settings: OwnSettings
+    route_settings: OwnSettings = ()
 
     @property
-    def alike(self) -> Alike:
-        return self.kind, self.at_destination, self.at_route
+    def signature(self) -> Signature:
+        return self.kind, self.destination_settings, self.route_settings
 
 
 class PlaceIndex:
@@ -79,24 +79,24 @@
     """
 
     def __init__(self) -> None:
-        self._groups: dict[str, Groups[Alike, Place]] = {}  # by kind
+        self._groups: dict[str, Groups[Signature, Place]] = {}  # by kind
         self._own_routes: Groups[str, str] = {}  # names of the routes in it, by destination
 
     def add(self, state: PlaceState) -> None:
-        put_in(self._groups.setdefault(state.kind, {}), state.alike, state.place)
+        add_to_group(self._groups.setdefault(state.kind, {}), state.signature, state.place)
         destination, route = state.place
         if route:
-            put_in(self._own_routes, destination, route)
+            add_to_group(self._own_routes, destination, route)
 
     def discard(self, state: PlaceState) -> None:
         """The same that was added."""
         groups = self._groups[state.kind]
-        take_out(groups, state.alike, state.place)
+        remove_from_group(groups, state.signature, state.place)
         if not groups:
             del self._groups[state.kind]
         destination, route = state.place
         if route:
-            take_out(self._own_routes, destination, route)
+            remove_from_group(self._own_routes, destination, route)
 
     def move(self, before: PlaceState | None, after: PlaceState | None) -> None:
         """None: no place."""
--- a/laureldock/setup/catalog_rules.py
+++ b/laureldock/setup/catalog_rules.py
@@ -8,7 +8,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from laureldock.setup.catalog_index import Alike
+from laureldock.setup.catalog_index import Signature
 from laureldock.setup.changes import (
     CatalogEntry,
     ClassEntry,
@@ -19,26 +19,26 @@
     TermsEntry,
     terms_name,
 )
-from laureldock.setup.entries import name_of, spots
+from laureldock.setup.entries import name_of, scopes_of
 from laureldock.setup.faults import Fault, Path
 from laureldock.setup.rules import (
-    Cells,
     Known,
+    SettingsChecker,
     class_faults,
     destination_faults,
-    listed_twice,
+    duplicate_endpoint,
     terms_faults,
     unknown,
 )
-from laureldock.setup.terms import Level, Spot
+from laureldock.setup.terms import Level, Scope
 
 if TYPE_CHECKING:
     from laureldock.setup.catalog import Catalog
 
 # Among more known names the nearest is not looked for: a change may have a thousand faults.
-MOST_SEARCHED = 500
+MAX_SEARCHED_NAMES = 500
 # Of settings that do not fit together: a queue class may disagree with every destination.
-MOST_FAULTS = 10_000
+MAX_SETTING_FAULTS = 10_000
 CUSTOMER_NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}")  # `plan.Name`
 
 # Queue classes whose cells are to be checked; None: all, and what they share.
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Touched:
+class AffectedPlaces:
     """What a change names, and by it selects: places whose cells may have become other ones."""
 
     # With the entry by which they may be listed no more.
@@ -57,8 +57,8 @@
     selected_kinds: dict[str, Classes] = field(default_factory=dict)
     everywhere: Classes = field(default_factory=set)
 
-    def select(self, queue_class: str, spot: Spot) -> None:
-        level, name = spot
+    def select(self, queue_class: str, scope: Scope) -> None:
+        level, name = scope
         if level is Level.ANY:
             self.everywhere = joined(self.everywhere, queue_class)
         elif level is Level.KIND:
@@ -82,7 +82,7 @@
         seen.add(key)
 
 
-def misnamed(entries: Iterable[CatalogEntry]) -> Iterator[Fault]:
+def misnamed_entries(entries: Iterable[CatalogEntry]) -> Iterator[Fault]:
     """Entries with a key that is not their own, or that no file could have."""
     for entry in entries:
         at: Path = (str(entry.key.kind), entry.name)
@@ -98,7 +98,7 @@
 def faults_of(
     catalog: Catalog,
     values: Mapping[EntryKey, CatalogEntry | None],
-    touched: Touched,
+    touched: AffectedPlaces,
     found: Iterable[Fault],
 ) -> list[Fault]:
     """All that is wrong once a change is made, each once; `found`: what was seen before."""
@@ -107,14 +107,19 @@
     for entry in values.values():
         if entry is not None:
             faults |= {(fault.path, fault.reason): fault for fault in entry_faults(catalog, entry, known)}
-    for fault in (*left_behind(catalog, touched, known), *islice(cells(catalog, touched), MOST_FAULTS)):
+    for fault in (
+        *dangling_references(catalog, touched, known),
+        *islice(cells(catalog, touched), MAX_SETTING_FAULTS),
+    ):
         faults.setdefault((fault.path, fault.reason), fault)
     return list(faults.values())
 
 
 def known_to(catalog: Catalog) -> Known:
-    live = catalog.live
-    return Known(live.classes, live.kinds, catalog.endpoint_names, catalog.endpoints, search=MOST_SEARCHED)
+    in_force = catalog.in_force
+    return Known(
+        in_force.classes, in_force.kinds, catalog.endpoint_names, catalog.endpoints, search=MAX_SEARCHED_NAMES
+    )
 
 
 def entry_faults(catalog: Catalog, entry: CatalogEntry, known: Known) -> Iterator[Fault]:
@@ -123,7 +128,7 @@
     match entry:
         case EndpointEntry(name, value):
             for other in catalog.addresses.others(value.destination, value.address, name):
-                yield listed_twice(value, at, ("endpoint", other))
+                yield duplicate_endpoint(value, at, ("endpoint", other))
         case DestinationEntry(_, value):
             yield from destination_faults(value, at, known)
         case TermsEntry(_, value):
@@ -132,44 +137,44 @@
             if name not in known.classes:
                 yield unknown(at, "queue class", name, known.classes)
             else:
-                yield from class_faults(catalog.live.classes[name], at)
+                yield from class_faults(catalog.in_force.classes[name], at)
 
 
-def left_behind(catalog: Catalog, touched: Touched, known: Known) -> Iterator[Fault]:
+def dangling_references(catalog: Catalog, touched: AffectedPlaces, known: Known) -> Iterator[Fault]:
     """What names a destination or a route that is not listed, or no more."""
     for name, cause in touched.destinations.items():
         if name not in catalog.endpoint_names:
-            paths: list[Path] = [("destination", name)] if name in catalog.live.destinations else []
-            naming = catalog.terms_naming.get((Level.DESTINATION, name), ())
+            paths: list[Path] = [("destination", name)] if name in catalog.in_force.destinations else []
+            naming = catalog.terms_by_scope.get((Level.DESTINATION, name), ())
             paths += [("terms", terms, "destination") for terms in naming]
             for path in paths:
                 for fault in known.unknown(path, "destination", name):
                     yield replace(fault, also=cause)
     for name, cause in touched.routes.items():
         if name not in catalog.endpoints:
-            for terms in catalog.terms_naming.get((Level.ROUTE, name), ()):
+            for terms in catalog.terms_by_scope.get((Level.ROUTE, name), ()):
                 for fault in known.unknown(("terms", terms, "route"), "route", name):
                     yield replace(fault, also=cause)
 
 
-def cells(catalog: Catalog, touched: Touched) -> Iterator[Fault]:
+def cells(catalog: Catalog, touched: AffectedPlaces) -> Iterator[Fault]:
     """What does not fit together at the places touched. Of places that are alike one is checked."""
-    if not catalog.term_book.settings:
+    if not catalog.terms_index.settings:
         return
-    checked = Cells(catalog.live, catalog.bounds, catalog.term_book)
+    checked = SettingsChecker(catalog.in_force, catalog.bounds, catalog.terms_index)
     if not catalog.places:
         yield from checked.at([])
     states = (
         *map(catalog.destination_state, touched.destinations),
         *map(catalog.route_state, touched.routes),
     )
-    clean: set[Alike] = set()
+    clean: set[Signature] = set()
     for state in states:
-        if state is None or state.alike in clean:
+        if state is None or state.signature in clean:
             continue
-        faults = checked.at(spots(state.kind, *state.place))
+        faults = checked.at(scopes_of(state.kind, *state.place))
         if not faults:
-            clean.add(state.alike)
+            clean.add(state.signature)
         yield from faults
     for kind in catalog.places.kinds() if touched.everywhere != set() else ():
         yield from of_kind(catalog, checked, kind, touched.everywhere)
@@ -177,11 +182,11 @@
         yield from of_kind(catalog, checked, kind, classes)
 
 
-def of_kind(catalog: Catalog, checked: Cells, kind: str, classes: Classes) -> Iterator[Fault]:
+def of_kind(catalog: Catalog, checked: SettingsChecker, kind: str, classes: Classes) -> Iterator[Fault]:
     """Of all places of a kind; of those alike, each only where one has a fault that names it."""
-    for alike in catalog.places.groups(kind):
-        for place in alike:
-            faults = checked.at(spots(kind, *place), classes)
+    for signature in catalog.places.groups(kind):
+        for place in signature:
+            faults = checked.at(scopes_of(kind, *place), classes)
             if not faults:
                 break
             yield from faults
--- a/laureldock/setup/changes.py
+++ b/laureldock/setup/changes.py
@@ -17,7 +17,7 @@
 from xxhash import xxh3_64_intdigest
 
 from laureldock.setup import plan
-from laureldock.setup.entries import several
+from laureldock.setup.entries import as_list
 from laureldock.setup.units import decode, encode
 
 
@@ -100,7 +100,7 @@
         ("destination", value.destination),
         ("route", value.route),
     )
-    parts = [f"{field}={'+'.join(several(told))}" for field, told in selected if told is not None]
+    parts = [f"{field}={'+'.join(as_list(told))}" for field, told in selected if told is not None]
     return ",".join(parts) or "all"
 
 
--- a/laureldock/setup/changes_file.py
+++ b/laureldock/setup/changes_file.py
@@ -29,9 +29,9 @@
     terms_name,
 )
 from laureldock.setup.entries import name_of
-from laureldock.setup.faults import Fault, Path, Placed, RefusedError
-from laureldock.setup.places import line_of, places
-from laureldock.setup.reading import parsed, placed, walk
+from laureldock.setup.faults import Fault, LocatedFault, Path, RefusedError
+from laureldock.setup.places import nearest_line, places
+from laureldock.setup.reading import locate_faults, parse_file, walk
 from laureldock.setup.units import decode
 
 Removal = Annotated[
@@ -47,7 +47,9 @@
     """The format of the file."""
 
     classes: dict[plan.Name, ClassSettings] = field(default_factory=dict, name="class")
-    destinations: dict[plan.Destined, plan.Destination] = field(default_factory=dict, name="destination")
+    destinations: dict[plan.DestinationName, plan.Destination] = field(
+        default_factory=dict, name="destination"
+    )
     customers: dict[plan.Name, plan.Customer] = field(default_factory=dict, name="customer")
     endpoints: list[plan.Endpoint] = field(default_factory=list, name="endpoint")
     terms: list[plan.Entry] = field(default_factory=list)
@@ -55,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChangePlaces:
+class EntryLocations:
     """Where in the file each entry of a change stands."""
 
     file: str
@@ -72,23 +74,23 @@
         return (*found, *path[2:])
 
 
-def read_changes(path: str) -> tuple[Change, ChangePlaces]:
+def read_changes(path: str) -> tuple[Change, EntryLocations]:
     """RefusedError tells all faults of form."""
-    text, told = parsed(path)
+    text, told = parse_file(path)
     try:
         file = msgspec.convert(told, ChangesFile, dec_hook=decode)
     except ValidationError as fault:
         faults = list(walk(told, ChangesFile, ())) or [Fault((), str(fault))]
-        raise RefusedError(placed(path, text, faults, [])) from None
+        raise RefusedError(locate_faults(path, text, faults, [])) from None
     entries = list(entries_of(file))
     paths: dict[EntryKey, Path] = {}
     for key, at in (*((entry.key, at) for entry, at in entries), *removals_of(file)):
         paths.setdefault(key, at)
     if faults := list(twice(file, entries, paths)) or nothing(paths):
-        raise RefusedError(placed(path, text, faults, []))
+        raise RefusedError(locate_faults(path, text, faults, []))
     puts = tuple(entry for entry, _ in entries)
     removals = tuple(key for key, _ in removals_of(file))
-    return Change(puts, removals), ChangePlaces(path, text, paths)
+    return Change(puts, removals), EntryLocations(path, text, paths)
 
 
 def entries_of(file: ChangesFile) -> Iterator[tuple[CatalogEntry, Path]]:
@@ -128,7 +130,7 @@
     return [] if paths else [Fault((), "changes nothing", "entries to put, or `remove`")]
 
 
-def placed_faults(faults: Iterable[Fault], where: ChangePlaces) -> list[Placed]:
+def locate_change_faults(faults: Iterable[Fault], where: EntryLocations) -> list[LocatedFault]:
     """Faults of a change that was refused, with the lines of its file, in their order.
 
     What is at fault may not be in the file, as terms that name an endpoint which is removed: then it stands
@@ -138,10 +140,10 @@
 
     def line(path: Path | None) -> int:
         found = where.in_file(path) if path else None
-        return line_of(found, lines) if found else 0
+        return nearest_line(found, lines) if found else 0
 
-    told: list[Placed] = []
+    told: list[LocatedFault] = []
     for fault in faults:
         also = line(fault.also)
-        told.append(Placed(where.file, line(fault.path) or also, fault, also))
+        told.append(LocatedFault(where.file, line(fault.path) or also, fault, also))
     return sorted(told, key=lambda each: each.line)
--- a/laureldock/setup/entries.py
+++ b/laureldock/setup/entries.py
@@ -7,14 +7,14 @@
 
 from laureldock.setup.faults import Fault, Path
 from laureldock.setup.plan import SETTINGS, Endpoint, Entry, Plan, Terms
-from laureldock.setup.terms import ANYWHERE, Level, Spot, TermBook
+from laureldock.setup.terms import EVERYWHERE, Level, Scope, TermsIndex
 
 
 def name_of(endpoint: Endpoint) -> str:
     return endpoint.name or endpoint.address
 
 
-def number_of(destination: str) -> int | str:
+def destination_id(destination: str) -> int | str:
     """As fronts name it."""
     return int(destination) if destination.isdigit() else destination
 
@@ -24,41 +24,41 @@
     return (found.kind if found else None) or ""
 
 
-def spots(kind: str, destination: str, route: str = "") -> list[Spot]:
+def scopes_of(kind: str, destination: str, route: str = "") -> list[Scope]:
     """The places in which a route, or a destination, lies."""
     found = [(Level.KIND, kind), (Level.DESTINATION, destination), (Level.ROUTE, route)]
     return [(level, name) for level, name in found if name]
 
 
-def several(told: str | list[str] | None) -> list[str]:
+def as_list(told: str | list[str] | None) -> list[str]:
     return [""] if told is None else [told] if isinstance(told, str) else told
 
 
-def named(entry: Entry) -> Iterator[tuple[str, Spot]]:
+def selected_scopes(entry: Entry) -> Iterator[tuple[str, Scope]]:
     """The queue class and the place of each pair that an entry names."""
-    places: list[Spot] = [ANYWHERE]
+    places: list[Scope] = [EVERYWHERE]
     for level in (Level.KIND, Level.DESTINATION, Level.ROUTE):
         told = getattr(entry, level.name.lower())
         if told is not None:
-            places = [(level, name) for name in several(told)]
-    for queue_class in several(entry.queue_class):
-        for spot in places:
-            yield queue_class, spot
+            places = [(level, name) for name in as_list(told)]
+    for queue_class in as_list(entry.queue_class):
+        for scope in places:
+            yield queue_class, scope
 
 
-def class_pairs(name: str) -> list[tuple[str, Spot]]:
-    return [(name, ANYWHERE)]
+def class_pairs(name: str) -> list[tuple[str, Scope]]:
+    return [(name, EVERYWHERE)]
 
 
-def destination_pairs(name: str) -> list[tuple[str, Spot]]:
+def destination_pairs(name: str) -> list[tuple[str, Scope]]:
     return [("", (Level.DESTINATION, name))]
 
 
-def endpoint_pairs(name: str) -> list[tuple[str, Spot]]:
+def endpoint_pairs(name: str) -> list[tuple[str, Scope]]:
     return [("", (Level.ROUTE, name))]
 
 
-def owners(plan: Plan) -> Iterator[tuple[Terms, Path, list[tuple[str, Spot]]]]:
+def settings_owners(plan: Plan) -> Iterator[tuple[Terms, Path, list[tuple[str, Scope]]]]:
     """Whatever holds settings, its path, and what it names."""
     for name, each in plan.classes.items():
         yield each, ("class", name), class_pairs(name)
@@ -69,7 +69,7 @@
     for place, endpoint in enumerate(plan.endpoints):
         yield endpoint, ("endpoint", place), endpoint_pairs(name_of(endpoint))
     for place, entry in enumerate(plan.terms):
-        yield entry, ("terms", place), list(named(entry))
+        yield entry, ("terms", place), list(selected_scopes(entry))
 
 
 def settings_of(owner: Terms) -> Iterator[tuple[str, Any]]:
@@ -80,7 +80,9 @@
             yield setting, value
 
 
-def enter(book: TermBook, owner: Terms, path: Path, pairs: Sequence[tuple[str, Spot]]) -> list[Fault]:
+def add_settings(
+    book: TermsIndex, owner: Terms, path: Path, pairs: Sequence[tuple[str, Scope]]
+) -> list[Fault]:
     """Put the settings of an owner in the book; a fault for each that cannot stand there."""
     faults = []
     for setting, value in settings_of(owner):
@@ -89,15 +91,15 @@
     return faults
 
 
-def withdraw(book: TermBook, owner: Terms, path: Path, pairs: Sequence[tuple[str, Spot]]) -> None:
+def remove_settings(book: TermsIndex, owner: Terms, path: Path, pairs: Sequence[tuple[str, Scope]]) -> None:
     """The other way; what could not be entered is passed over."""
     for setting, _ in settings_of(owner):
         for pair in pairs:
             book.remove(setting, (*path, setting), *pair)
 
 
-def term_book(plan: Plan) -> tuple[TermBook, list[Fault]]:
-    book, faults = TermBook(), []
-    for owner, path, pairs in owners(plan):
-        faults += enter(book, owner, path, pairs)
+def index_terms(plan: Plan) -> tuple[TermsIndex, list[Fault]]:
+    book, faults = TermsIndex(), []
+    for owner, path, pairs in settings_owners(plan):
+        faults += add_settings(book, owner, path, pairs)
     return book, faults
--- a/laureldock/setup/faults.py
+++ b/laureldock/setup/faults.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class LocatedFault:
     """A fault with the lines of its places, as shown."""
 
     file: str
@@ -53,6 +53,6 @@
 class RefusedError(ValueError):
     """A configuration that is not taken, with all that is wrong with it."""
 
-    def __init__(self, faults: Sequence[Placed]) -> None:
+    def __init__(self, faults: Sequence[LocatedFault]) -> None:
         super().__init__("; ".join(str(fault) for fault in faults[:3]))
         self.faults = list(faults)
--- a/laureldock/setup/places.py
+++ b/laureldock/setup/places.py
@@ -74,7 +74,7 @@
             yield from inside(child, (*path, place))
 
 
-def line_of(path: Path, found: dict[Path, int]) -> int:
+def nearest_line(path: Path, found: dict[Path, int]) -> int:
     """Of the place, or of the nearest table around it; 1 if none."""
     while path and path not in found:
         path = path[:-1]
--- a/laureldock/setup/plan.py
+++ b/laureldock/setup/plan.py
@@ -15,7 +15,7 @@
 
 # What may go on in a header, a log line and a store.
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}$")]
-Destined = Annotated[str, Meta(pattern=r"^(\d{1,9}|[A-Za-z_][A-Za-z0-9_.-]{0,63})$")]
+DestinationName = Annotated[str, Meta(pattern=r"^(\d{1,9}|[A-Za-z_][A-Za-z0-9_.-]{0,63})$")]
 
 
 def seconds(value: float) -> Seconds:
@@ -115,7 +115,7 @@
 
 
 class Endpoint(Terms, kw_only=True):
-    destination: Destined
+    destination: DestinationName
     address: Address
     name: (
         Annotated[str, Meta(pattern=r"^[!-~]{1,256}$", description="its own; the address if left out")] | None
@@ -277,7 +277,7 @@
     ] = -1
     classes: dict[Name, QueueClass] = field(default_factory=dict, name="class")
     kinds: dict[Name, Kind] = field(default_factory=dict, name="kind")
-    destinations: dict[Destined, Destination] = field(default_factory=dict, name="destination")
+    destinations: dict[DestinationName, Destination] = field(default_factory=dict, name="destination")
     customers: dict[Name, Customer] = field(default_factory=dict, name="customer")
     endpoints: list[Endpoint] = field(default_factory=list, name="endpoint")
     terms: list[Entry] = field(default_factory=list)
--- a/laureldock/setup/platform.py
+++ b/laureldock/setup/platform.py
@@ -46,7 +46,7 @@
     )
 
 
-def of_profile(seed: int, profile: Fields, sockets: bool) -> Plan:
+def plan_from_profile(seed: int, profile: Fields, sockets: bool) -> Plan:
     """The settings that an instance is given at its start. KeyError, TypeError, ValueError."""
     limits, rules, family = profile["limits"], profile["invariants"], profile["family_info"]
     batches, apart = family.get("batch_by_kind") or [], family.get("routes_apart") or []
@@ -111,7 +111,7 @@
     return found
 
 
-def positive(value: Any) -> bool:
+def is_positive(value: Any) -> bool:
     return isinstance(value, int | float) and not isinstance(value, bool) and value > 0
 
 
@@ -120,12 +120,12 @@
     faults = []
     try:
         profile = found["settings"]
-        if not positive(profile["limits"]["max_attempts"]):
+        if not is_positive(profile["limits"]["max_attempts"]):
             faults.append(
                 f"settings.limits.max_attempts: no number above 0: {profile['limits']['max_attempts']!r}"
             )
         for place, entry in enumerate(profile["classes"]):
-            if not positive(entry["deadline_ns"]):
+            if not is_positive(entry["deadline_ns"]):
                 faults.append(
                     f"settings.classes[{place}].deadline_ns: no number above 0: {entry['deadline_ns']!r}"
                 )
@@ -136,7 +136,7 @@
     return faults
 
 
-def of_platform(environ: Mapping[str, str], again: bool = False) -> tuple[Plan, Bounds]:
+def plan_from_platform(environ: Mapping[str, str], again: bool = False) -> tuple[Plan, Bounds]:
     """The plan of a dispatcher on the platform, and what it is held to. ValueError in plain words.
 
     `again`: a file read at SIGHUP, held to more, since a dispatcher that runs keeps its settings rather.
@@ -146,7 +146,7 @@
         if again and (faults := unsound(found)):
             raise ValueError("; ".join(faults))
         profile, limits = found["settings"], found["limits"]
-        plan = of_profile(int(found["seed"], 16), profile, True)
+        plan = plan_from_profile(int(found["seed"], 16), profile, True)
         plan.name = str(environ.get("LB_NAME") or found["name"])
         plan.state = environ["LB_STATE"]
         plan.limits.sockets = int(limits["sockets"])
--- a/laureldock/setup/reading.py
+++ b/laureldock/setup/reading.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct, ValidationError
 
-from laureldock.setup.faults import Fault, Placed, RefusedError
+from laureldock.setup.faults import Fault, LocatedFault, RefusedError
 from laureldock.setup.faults import Path as Place
 from laureldock.setup.plan import Plan
 from laureldock.setup.rules import Bounds, check
@@ -63,22 +63,22 @@
 def load(path: str, overrides: list[Override] | None = None, bounds: Bounds | None = None) -> Loaded:
     """Read a file. RefusedError tells all faults of it."""
     overrides = overrides or []
-    text, told = parsed(path)
+    text, told = parse_file(path)
     for each in overrides:
         put(told, each)
     try:
         plan = msgspec.convert(told, Plan, dec_hook=decode)
     except ValidationError as fault:
         found = list(walk(told, Plan, ())) or [Fault((), str(fault))]
-        raise RefusedError(placed(path, text, found, overrides)) from None
+        raise RefusedError(locate_faults(path, text, found, overrides)) from None
     state = Path(path).parent / plan.state
     found = check(plan, bounds or Bounds()) + list(folders(plan, state))
     if found:
-        raise RefusedError(placed(path, text, found, overrides))
+        raise RefusedError(locate_faults(path, text, found, overrides))
     return Loaded(plan, state, path, text, told, overrides)
 
 
-def parsed(path: str) -> tuple[bytes, dict[str, Any]]:
+def parse_file(path: str) -> tuple[bytes, dict[str, Any]]:
     line, reason = 0, ""
     try:
         text = read(path)
@@ -94,7 +94,7 @@
         reason = f"not TOML: {AT_LINE.sub('', str(fault))}"
     except RecursionError:
         reason = "not TOML: nested too deep"
-    raise RefusedError([Placed(path, line, Fault((), reason))])
+    raise RefusedError([LocatedFault(path, line, Fault((), reason))])
 
 
 def read(path: str) -> bytes:
@@ -121,16 +121,20 @@
         here[str(last)] = override.value
 
 
-def placed(path: str, text: bytes, found: list[Fault], overrides: list[Override]) -> list[Placed]:
+def locate_faults(
+    path: str, text: bytes, found: list[Fault], overrides: list[Override]
+) -> list[LocatedFault]:
     """In the order of the file. What came from outside it is named by that."""
-    from laureldock.setup.places import line_of, places  # see above
+    from laureldock.setup.places import nearest_line, places  # see above
 
     lines = places(text)
     outside = {each.path: each.origin for each in overrides}
     told = [
-        Placed(outside[fault.path], 0, fault)
+        LocatedFault(outside[fault.path], 0, fault)
         if fault.path in outside
-        else Placed(path, line_of(fault.path, lines), fault, line_of(fault.also, lines) if fault.also else 0)
+        else LocatedFault(
+            path, nearest_line(fault.path, lines), fault, nearest_line(fault.also, lines) if fault.also else 0
+        )
         for fault in found
     ]
     return sorted(told, key=lambda each: (each.file, each.line))
--- a/laureldock/setup/rules.py
+++ b/laureldock/setup/rules.py
@@ -11,14 +11,14 @@
 from ipaddress import ip_address
 from math import inf
 
-from laureldock.setup.entries import kind_of, name_of, several, spots, term_book
+from laureldock.setup.entries import as_list, index_terms, kind_of, name_of, scopes_of
 from laureldock.setup.faults import Fault, Path
 from laureldock.setup.plan import SETTINGS, Destination, Endpoint, Entry, Plan, QueueClass
-from laureldock.setup.terms import Set, Spot, TermBook
+from laureldock.setup.terms import Scope, Set, TermsIndex
 from laureldock.setup.units import encode
 
 # Two: a second copy hedges against a slow receiver; more only load one that is.
-MOST_COPIES = 2
+MAX_COPIES = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,15 +38,15 @@
 
 def check(plan: Plan, bounds: Bounds) -> list[Fault]:
     """Every fault of a plan that is whole in form."""
-    book, faults = term_book(plan)
+    book, faults = index_terms(plan)
     for part in (machine, peers, limits, classes, names, endpoints, fleet):
         faults += part(plan, bounds)
-    cells = Cells(plan, bounds, book)
+    cells = SettingsChecker(plan, bounds, book)
     faults += cells.check()
     return faults
 
 
-def positive(path: Path, value: float | None) -> Iterator[Fault]:
+def require_positive(path: Path, value: float | None) -> Iterator[Fault]:
     if value is not None and not value > 0:
         yield Fault(path, "must be more than nought")
 
@@ -62,7 +62,7 @@
 
 def limits(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
     here = plan.limits
-    yield from positive(("limits", "connect_time"), here.connect_time)
+    yield from require_positive(("limits", "connect_time"), here.connect_time)
     if here.connects > bounds.connects:
         path, allowed = ("limits", "connects"), f"{bounds.connects} or fewer"
         yield Fault(path, f"{here.connects} connects for a mail are more than the rules allow", allowed)
@@ -80,7 +80,7 @@
         path, allowed = ("limits", "idle_time"), f"more than limits.connect_time, {encode(here.connect_time)}"
         yield Fault(path, "no kept connection could be used", allowed)
     for name in ("fall_time", "warm_time"):
-        yield from positive(("returning", name), getattr(plan.returning, name))
+        yield from require_positive(("returning", name), getattr(plan.returning, name))
 
 
 def peers(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
@@ -177,8 +177,8 @@
 
 
 def class_faults(each: QueueClass, at: Path) -> Iterator[Fault]:
-    yield from positive((*at, "target_delay"), each.target_delay)
-    yield from positive((*at, "lifetime"), each.lifetime)
+    yield from require_positive((*at, "target_delay"), each.target_delay)
+    yield from require_positive((*at, "lifetime"), each.lifetime)
     if each.target_delay > each.lifetime:
         allowed = f"{encode(each.lifetime)}, its lifetime, or less"
         yield Fault((*at, "target_delay"), "a mail would be over before it is late", allowed)
@@ -191,7 +191,7 @@
         reason = "a once-only mail that may have run would be sent again"
         yield Fault((*at, "resend"), reason, "'proven' or 'never'")
     if each.effect == "tagged":
-        yield from positive((*at, "memory"), each.memory)
+        yield from require_positive((*at, "memory"), each.memory)
         if each.memory is None and each.resend not in ("proven", "never"):
             allowed = "the time for which receivers know a repeat, or resend = 'proven'"
             yield Fault(
@@ -269,7 +269,7 @@
         "route": entry.route,
     }
     for field, told in selected.items():
-        for name in several(told) if told is not None else ():
+        for name in as_list(told) if told is not None else ():
             yield from known.unknown((*at, field), field, name)
         if isinstance(told, list) and not told:
             yield Fault((*at, field), "names nothing", "a name, or several")
@@ -279,7 +279,7 @@
         yield Fault(at, "sets nothing", "one of " + ", ".join(SETTINGS))
 
 
-def listed_twice(endpoint: Endpoint, at: Path, also: Path) -> Fault:
+def duplicate_endpoint(endpoint: Endpoint, at: Path, also: Path) -> Fault:
     reason = f"{endpoint.address} is listed twice for {endpoint.destination}"
     return Fault((*at, "address"), reason, "", also)
 
@@ -289,21 +289,21 @@
     by_place: dict[tuple[str, str], int] = {}
     for place, each in enumerate(plan.endpoints):
         at: Path = ("endpoint", place)
-        name, spot = name_of(each), (each.destination, str(each.address))
-        if spot in by_place:
-            also = ("endpoint", by_place[spot])
-            yield listed_twice(each, at, also)
+        name, key = name_of(each), (each.destination, str(each.address))
+        if key in by_place:
+            also = ("endpoint", by_place[key])
+            yield duplicate_endpoint(each, at, also)
         elif name in by_name:
             also = ("endpoint", by_name[name])
             yield Fault((*at, "name"), f"two endpoints are named {name!r}", "a name of its own", also)
         by_name.setdefault(name, place)
-        by_place.setdefault(spot, place)
+        by_place.setdefault(key, place)
 
 
-class Cells:
+class SettingsChecker:
     """What holds for each queue class at each destination, and at each route that any entry names."""
 
-    def __init__(self, plan: Plan, bounds: Bounds, book: TermBook) -> None:
+    def __init__(self, plan: Plan, bounds: Bounds, book: TermsIndex) -> None:
         self.plan, self.bounds, self.book = plan, bounds, book
         self.told: set[tuple[Path, str]] = set()
 
@@ -321,10 +321,10 @@
             if name_of(each) in named_routes
         }
         for destination, route in places or {("", ""): None}:
-            faults += self.at(spots(kind_of(plan, destination), destination, route))
+            faults += self.at(scopes_of(kind_of(plan, destination), destination, route))
         return faults
 
-    def at(self, where: Sequence[Spot], classes: Iterable[str] | None = None) -> list[Fault]:
+    def at(self, where: Sequence[Scope], classes: Iterable[str] | None = None) -> list[Fault]:
         """What is new of one place: for these queue classes, or for all and what they share."""
         faults: list[Fault] = []
         known = self.plan.classes
@@ -342,21 +342,21 @@
         self.told.add(key)
         return new
 
-    def get(self, setting: str, name: str, where: Sequence[Spot]) -> Set | None:
-        found = self.book.fitting(setting, name, where) if setting in self.book.settings else []
+    def get(self, setting: str, name: str, where: Sequence[Scope]) -> Set | None:
+        found = self.book.most_specific(setting, name, where) if setting in self.book.settings else []
         return found[0] if found else None
 
-    def window(self, where: Sequence[Spot]) -> Iterator[Fault]:
+    def window(self, where: Sequence[Scope]) -> Iterator[Fault]:
         found, cap = self.get("window", "", where), window_cap(self.plan.limits.slots)
         if found and found.value > cap:
             allowed = f"{cap}, under three quarters of limits.slots, or fewer"
             yield Fault(found.path, f"{found.value} calls in flight would crowd out all else", allowed)
 
-    def cell(self, name: str, where: Sequence[Spot]) -> Iterator[Fault]:
+    def cell(self, name: str, where: Sequence[Scope]) -> Iterator[Fault]:
         kind, here = self.plan.classes[name], self.plan.limits
         life = f"{encode(kind.lifetime)}, the lifetime of {name!r}, or less"
         if found := self.get("time_out", name, where):
-            yield from positive(found.path, found.value)
+            yield from require_positive(found.path, found.value)
             if found.value > kind.lifetime:
                 yield Fault(found.path, f"a connect would outlast a mail of class {name!r}", life)
         connects = self.get("connects", name, where)
@@ -369,11 +369,11 @@
         yield from self.copies(name, kind, where, connects)
 
     def copies(
-        self, name: str, kind: QueueClass, where: Sequence[Spot], connects: Set | None
+        self, name: str, kind: QueueClass, where: Sequence[Scope], connects: Set | None
     ) -> Iterator[Fault]:
         after = self.get("copy_after", name, where)
         if after:
-            yield from positive(after.path, after.value)
+            yield from require_positive(after.path, after.value)
             if after.value >= kind.lifetime:
                 reason = f"a mail of class {name!r} is over by then"
                 yield Fault(after.path, reason, f"less than {encode(kind.lifetime)}")
@@ -383,8 +383,8 @@
         found = self.get("copies", name, where)
         if not found or found.value == 1:
             return
-        if found.value > MOST_COPIES:
-            yield Fault(found.path, f"{found.value} copies of a mail at once", f"{MOST_COPIES} or fewer")
+        if found.value > MAX_COPIES:
+            yield Fault(found.path, f"{found.value} copies of a mail at once", f"{MAX_COPIES} or fewer")
         if not self.plan.limits.copies:
             reason = "two connects of a mail out at once are barred"
             yield Fault(found.path, reason, "1, or limits.copies = true where receivers allow it")
--- a/laureldock/setup/terms.py
+++ b/laureldock/setup/terms.py
@@ -27,12 +27,12 @@
 
 
 # A place as it is looked up: how narrow, and its name.
-Spot = tuple[Level, str]
-ANYWHERE: Spot = (Level.ANY, "")
+Scope = tuple[Level, str]
+EVERYWHERE: Scope = (Level.ANY, "")
 
 # Where each setting may stand: with a queue class named or not, and up to which place. A window is shared by
 # all classes; what counts for a mail before its route is drawn cannot depend on the route.
-MAY_STAND: dict[str, tuple[bool, Level, Level]] = {
+ALLOWED_SCOPES: dict[str, tuple[bool, Level, Level]] = {
     "time_out": (True, Level.ANY, Level.ROUTE),
     "connects": (True, Level.ANY, Level.DESTINATION),
     "copies": (True, Level.ANY, Level.DESTINATION),
@@ -44,12 +44,12 @@
 
 
 # What is set at one place: of each setting and queue class, the values.
-SetAt = tuple[tuple[str, str, tuple[Any, ...]], ...]
+OwnSettings = tuple[tuple[str, str, tuple[Any, ...]], ...]
 
 Counted = TypeVar("Counted")
 
 
-def uncount(counts: Counter[Counted], item: Counted, times: int) -> None:
+def decrement(counts: Counter[Counted], item: Counted, times: int) -> None:
     """Count it down, and leave no nought behind."""
     counts[item] -= times
     if not counts[item]:
@@ -62,99 +62,99 @@
 
     value: Any
     path: Path = field(compare=False)
-    classed: bool
+    names_class: bool
     level: Level
 
-    def beats(self, other: Set) -> bool:
-        wider = other.classed <= self.classed and other.level <= self.level
-        return wider and (self.classed, self.level) != (other.classed, other.level)
+    def overrides(self, other: Set) -> bool:
+        wider = other.names_class <= self.names_class and other.level <= self.level
+        return wider and (self.names_class, self.level) != (other.names_class, other.level)
 
 
 @dataclass(slots=True)
-class TermBook:
+class TermsIndex:
     """All entries, by setting and by what they name."""
 
-    entries: dict[tuple[str, str, Spot], list[Set]] = field(default_factory=dict)
+    entries: dict[tuple[str, str, Scope], list[Set]] = field(default_factory=dict)
     settings: Counter[str] = field(
         default_factory=Counter
     )  # how often each is set; those never set are not in it
     # Likewise, by place: each setting with the queue class that it is set for.
-    spots: dict[Spot, Counter[tuple[str, str]]] = field(default_factory=dict)
+    scopes: dict[Scope, Counter[tuple[str, str]]] = field(default_factory=dict)
 
-    def add(self, setting: str, value: Any, path: Path, queue_class: str, spot: Spot) -> Fault | None:
+    def add(self, setting: str, value: Any, path: Path, queue_class: str, scope: Scope) -> Fault | None:
         """Enter it, or say why it cannot stand there."""
-        classes, least, most = MAY_STAND[setting]
-        if (queue_class and not classes) or not least <= spot[0] <= most:
+        classes, least, most = ALLOWED_SCOPES[setting]
+        if (queue_class and not classes) or not least <= scope[0] <= most:
             names = [level.name.lower() for level in Level if least <= level <= most and level]
             reason = f"{setting} cannot be set for " + (
-                "a queue class" if queue_class and not classes else f"a {spot[0].name.lower()}" if spot[0]
+                "a queue class" if queue_class and not classes else f"a {scope[0].name.lower()}" if scope[0]
                 else "all alike"
             )  # fmt: skip
             return Fault(path, reason, "at a " + ", a ".join((["queue class"] if classes else []) + names))
-        found = self.entries.setdefault((setting, queue_class, spot), [])
-        found.append(Set(value, path, bool(queue_class), spot[0]))
+        found = self.entries.setdefault((setting, queue_class, scope), [])
+        found.append(Set(value, path, bool(queue_class), scope[0]))
         self.settings[setting] += 1
-        self.spots.setdefault(spot, Counter())[setting, queue_class] += 1
+        self.scopes.setdefault(scope, Counter())[setting, queue_class] += 1
         return None
 
-    def remove(self, setting: str, path: Path, queue_class: str, spot: Spot) -> None:
+    def remove(self, setting: str, path: Path, queue_class: str, scope: Scope) -> None:
         """Take out what was added by that path, if it was."""
-        found = self.entries.get((setting, queue_class, spot), [])
+        found = self.entries.get((setting, queue_class, scope), [])
         kept = [each for each in found if each.path != path]
         removed = len(found) - len(kept)
         if not removed:
             return
         if kept:
-            self.entries[setting, queue_class, spot] = kept
+            self.entries[setting, queue_class, scope] = kept
         else:
-            del self.entries[setting, queue_class, spot]
-        uncount(self.settings, setting, removed)
-        uncount(self.spots[spot], (setting, queue_class), removed)
-        if not self.spots[spot]:
-            del self.spots[spot]
+            del self.entries[setting, queue_class, scope]
+        decrement(self.settings, setting, removed)
+        decrement(self.scopes[scope], (setting, queue_class), removed)
+        if not self.scopes[scope]:
+            del self.scopes[scope]
 
-    def fitting(self, setting: str, queue_class: str, spots: Sequence[Spot]) -> list[Set]:
+    def most_specific(self, setting: str, queue_class: str, scopes: Sequence[Scope]) -> list[Set]:
         """Those that fit and that no other beats."""
         fit = [
             each
             for name in {"": None, queue_class: None}
-            for spot in (ANYWHERE, *spots)
-            for each in self.entries.get((setting, name, spot), ())
+            for scope in (EVERYWHERE, *scopes)
+            for each in self.entries.get((setting, name, scope), ())
         ]
-        return [each for each in fit if not any(other.beats(each) for other in fit)]
+        return [each for each in fit if not any(other.overrides(each) for other in fit)]
 
-    def value(self, setting: str, queue_class: str, spots: Sequence[Spot], otherwise: Any = None) -> Any:
+    def value(self, setting: str, queue_class: str, scopes: Sequence[Scope], otherwise: Any = None) -> Any:
         """What holds there; `otherwise` if nothing was set."""
         if setting not in self.settings:
             return otherwise
-        found = self.fitting(setting, queue_class, spots)
+        found = self.most_specific(setting, queue_class, scopes)
         return found[0].value if found else otherwise
 
-    def conflicts(self, queue_class: str, spots: Sequence[Spot]) -> Iterator[Fault]:
+    def conflicts(self, queue_class: str, scopes: Sequence[Scope]) -> Iterator[Fault]:
         """Settings on which two entries disagree there, though neither beats the other."""
-        for setting in MAY_STAND:
+        for setting in ALLOWED_SCOPES:
             if setting in self.settings:
-                found = self.fitting(setting, queue_class, spots)
+                found = self.most_specific(setting, queue_class, scopes)
                 for other in found[1:]:
                     if other.value != found[0].value:
                         reason = f"{other.value!r} and {found[0].value!r} are equally specific"
                         allowed = "one value, or an entry in [[terms]] that names both"
                         yield Fault(other.path, reason, allowed, found[0].path)
 
-    def set_at(self, spot: Spot) -> SetAt:
+    def own_settings(self, scope: Scope) -> OwnSettings:
         """Places of one level that have the same here differ in nothing but their names."""
-        found = self.spots.get(spot)
+        found = self.scopes.get(scope)
         if not found:
             return ()
         return tuple(
             (
                 setting,
                 queue_class,
-                tuple(sorted(each.value for each in self.entries[setting, queue_class, spot])),
+                tuple(sorted(each.value for each in self.entries[setting, queue_class, scope])),
             )
             for setting, queue_class in sorted(found)
         )
 
     def routes(self) -> set[str]:
         """Names of routes that any entry names."""
-        return {name for level, name in self.spots if level is Level.ROUTE}
+        return {name for level, name in self.scopes if level is Level.ROUTE}
--- a/laureldock/sources/listed.py
+++ b/laureldock/sources/listed.py
@@ -7,7 +7,7 @@
 
 from laureldock import interface as face
 from laureldock.core.seams import News
-from laureldock.setup.entries import kind_of, name_of, number_of
+from laureldock.setup.entries import destination_id, kind_of, name_of
 from laureldock.setup.plan import Endpoint, Plan
 from laureldock.tariff import Entry
 
@@ -28,7 +28,7 @@
         name_of(each): (
             Entry(
                 name_of(each),
-                number_of(each.destination),
+                destination_id(each.destination),
                 each.zone,
                 kind_of(plan, each.destination),
                 each.rate,
--- a/laureldock/tariff.py
+++ b/laureldock/tariff.py
@@ -11,10 +11,10 @@
 from typing import TYPE_CHECKING, Any
 
 from laureldock import interface as face
-from laureldock.setup.entries import kind_of, number_of, spots, term_book
+from laureldock.setup.entries import destination_id, index_terms, kind_of, scopes_of
 from laureldock.setup.plan import Plan
 from laureldock.setup.plan import QueueClass as Sort
-from laureldock.setup.terms import Level, TermBook
+from laureldock.setup.terms import Level, TermsIndex
 
 if TYPE_CHECKING:  # of a source of kind "controller" alone
     from laureldock.setup.catalog import AppliedChange, Catalog, Selection
@@ -83,7 +83,7 @@
 class Book:
     """The names at the door: queue classes, customers, destinations, the routes listed, and their terms."""
 
-    def __init__(self, plan: Plan, sockets: bool = False, terms: TermBook | None = None) -> None:
+    def __init__(self, plan: Plan, sockets: bool = False, terms: TermsIndex | None = None) -> None:
         self.plan = plan
         self.tariff = tariff(plan, sockets)
         self.names: dict[face.QueueClass, str] = {}  # of earlier settings too
@@ -93,10 +93,10 @@
         self.destinations: dict[Any, face.Destination] = {}
         self.kind_names: dict[Any, str] = {}  # of destinations, as listed or as the plan has them
         self.routes: dict[str, face.Route] = {}
-        self.term_book = terms or term_book(plan)[0]
+        self.term_book = terms or index_terms(plan)[0]
         self.terms: dict[Any, dict[face.QueueClass, face.Terms | None]] = {}  # by destination, as looked up
 
-    def retell(self, plan: Plan, terms: TermBook) -> None:
+    def retell(self, plan: Plan, terms: TermsIndex) -> None:
         """Other terms from now on; what is out and what waits keeps its own."""
         same = terms.entries == self.term_book.entries and plan.destinations == self.plan.destinations
         self.plan, self.term_book = plan, terms
@@ -125,7 +125,7 @@
                 self.left(put.before.destination, catalog)
                 self.retell_routes(put.value.destination, [put.name])
         for destination in applied.destinations:
-            self.kind_names.pop(number_of(destination), None)  # the plan has it
+            self.kind_names.pop(destination_id(destination), None)  # the plan has it
             self.retell_destination(destination, catalog)
         for selection in applied.selections:
             self.reselect(selection, catalog)
@@ -133,11 +133,11 @@
     def left(self, destination: str, catalog: Catalog) -> None:
         """By an endpoint: nothing is kept that can be worked out again where there is none any more."""
         if destination not in catalog.endpoint_names:
-            self.terms.pop(number_of(destination), None)
-            self.kind_names.pop(number_of(destination), None)
+            self.terms.pop(destination_id(destination), None)
+            self.kind_names.pop(destination_id(destination), None)
 
     def retell_destination(self, destination: str, catalog: Catalog) -> None:
-        number = number_of(destination)
+        number = destination_id(destination)
         self.terms.pop(number, None)
         if (owner := self.destinations.get(number)) is not None:
             self.tell_destination(number, owner)
@@ -145,7 +145,7 @@
 
     def retell_routes(self, destination: str, names: Iterable[str]) -> None:
         """Those of them that are its routes by now; the others are told once they are."""
-        number = number_of(destination)
+        number = destination_id(destination)
         owner = self.destinations.get(number)
         for name in names:
             route = self.routes.get(name)
@@ -154,7 +154,7 @@
 
     def reselect(self, selection: Selection, catalog: Catalog) -> None:
         """Settings of [[terms]] or of a queue class that hold anew, or no more, where they select."""
-        level, name = selection.spot
+        level, name = selection.scope
         if level is Level.ROUTE:
             if (endpoint := catalog.endpoints.get(name)) is not None:
                 self.retell_routes(endpoint.destination, [name])
@@ -174,19 +174,19 @@
         windows: dict[object, float] = {}
         known: dict[object, face.Route] = {}
         for destination in destinations:
-            number = number_of(destination)
+            number = destination_id(destination)
             owner, state = self.destinations.get(number), catalog.destination_state(destination)
             if owner is None or state is None:
                 continue
-            if state.alike not in windows:
+            if state.signature not in windows:
                 self.tell_destination(number, owner)
-                windows[state.alike] = owner.window
-            owner.window = windows[state.alike]
+                windows[state.signature] = owner.window
+            owner.window = windows[state.signature]
             for name in catalog.endpoint_names[destination]:
                 route = self.routes.get(name)
                 if route is None or route.destination is not owner:
                     continue
-                alike = *state.alike, catalog.term_book.set_at((Level.ROUTE, name))
+                alike = *state.signature, catalog.terms_index.own_settings((Level.ROUTE, name))
                 if (other := known.get(alike)) is None:
                     self.tell_route(name, number, route)
                     known[alike] = route
@@ -224,7 +224,7 @@
 
     def spots(self, number: Any, route: str = "") -> list[Any]:
         kind = self.kind_names.get(number) or kind_of(self.plan, str(number))
-        return spots(kind, str(number), route)
+        return scopes_of(kind, str(number), route)
 
     def tell_destination(self, number: Any, destination: face.Destination) -> None:
         destination.window = self.term_book.value("window", "", self.spots(number), inf)
--- a/tests/dock.py
+++ b/tests/dock.py
@@ -18,7 +18,7 @@
 from laureldock.assembly import Assembly
 from laureldock.control import Control
 from laureldock.interface import Ending, Rerun
-from laureldock.setup.platform import of_platform
+from laureldock.setup.platform import plan_from_platform
 
 TARIFF = face.Tariff(
     seed=7, instances=2, slots=8, room=40, most_attempts=4, may_cancel=True, may_probe=False, may_copy=False,
@@ -211,7 +211,7 @@
         self.state.mkdir()
         all_told = {**told, "limits": limits, "known": self.hosts(routes), "settings": SETTINGS}
         config.write_text(json.dumps(all_told))
-        self.plan, _ = of_platform({"LB_CONFIG": str(config), "LB_STATE": str(self.state)})
+        self.plan, _ = plan_from_platform({"LB_CONFIG": str(config), "LB_STATE": str(self.state)})
         self.down: set[str] = set()  # receivers that refuse connections
         self.late: set[str] = set()  # those whose connections do not come up yet
         self.takes_notices = self.lists = True
--- a/tests/shore.py
+++ b/tests/shore.py
@@ -18,7 +18,7 @@
 from dock import SETTINGS, Quay
 
 from laureldock.assembly import Assembly
-from laureldock.setup.platform import of_platform
+from laureldock.setup.platform import plan_from_platform
 from laureldock.sockets.reactor import SteadyReactor
 
 
@@ -165,7 +165,7 @@
         self.config.write_text(
             json.dumps({**told, "limits": limits, "known": known, "settings": self.settings})
         )
-        plan, _ = of_platform({"LB_CONFIG": str(self.config), "LB_STATE": str(self.state)})
+        plan, _ = plan_from_platform({"LB_CONFIG": str(self.config), "LB_STATE": str(self.state)})
         self.listen = listen
         self.reactor: Any = SteadyReactor()
         self.reactor.startRunning(installSignalHandlers=False)
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -79,14 +79,14 @@
 
 def snapshot(catalog: Catalog) -> object:
     """All that a catalog holds, indexes too; the order of equal settings aside."""
-    book = catalog.term_book
+    book = catalog.terms_index
     entries = {
         key: sorted((str(each.path), each.value) for each in found) for key, found in book.entries.items()
     }
     indexes = (catalog.places, catalog.addresses)
-    groups = (catalog.endpoint_names, catalog.terms_naming)
+    groups = (catalog.endpoint_names, catalog.terms_by_scope)
     return deepcopy(
-        (catalog.plan(), catalog.digest, entries, book.settings, book.spots, groups, *map(vars, indexes))
+        (catalog.plan(), catalog.digest, entries, book.settings, book.scopes, groups, *map(vars, indexes))
     )
 
 
@@ -119,7 +119,7 @@
     ]  # fmt: skip
     held = list(catalog.entries())
     assert decode_entries(encode_entries(held)) == tuple(held)
-    assert catalog.get(held[0].key) == held[0] and catalog.live.classes["charge"].importance == 5.0
+    assert catalog.get(held[0].key) == held[0] and catalog.in_force.classes["charge"].importance == 5.0
     assert catalog.apply(Change(tuple(held))) == AppliedChange()
 
 
@@ -128,14 +128,14 @@
     change = Change((endpoint("n1", "south", 9009),), (EntryKey(EntryKind.DESTINATION, "north"),))
     found = catalog.apply(change)
     assert [(each.name, each.before) for each in found.endpoints_put] == [("n1", before)]
-    assert found.destinations == ["north"] == found.rekinded
+    assert found.destinations == ["north"] == found.kind_changed
     assert set(catalog.endpoint_names) == {"south"}
 
 
 def test_a_class_overridden_has_its_base_again_once_that_is_removed(catalog: Catalog) -> None:
-    assert catalog.live.classes["charge"].time_out == 5.0
+    assert catalog.in_force.classes["charge"].time_out == 5.0
     catalog.apply(Change(removals=(EntryKey(EntryKind.CLASS, "charge"),)))
-    assert catalog.live.classes["charge"] == BASE.classes["charge"]
+    assert catalog.in_force.classes["charge"] == BASE.classes["charge"]
 
 
 def test_equal_entries_have_one_digest_whatever_the_way(catalog: Catalog) -> None:
--- a/tests/test_catalog_property.py
+++ b/tests/test_catalog_property.py
@@ -31,7 +31,7 @@
     encode_change,
     terms_name,
 )
-from laureldock.setup.entries import settings_of, term_book
+from laureldock.setup.entries import index_terms, settings_of
 from laureldock.setup.faults import Fault
 from laureldock.setup.plan import Customer, Destination, Endpoint, Entry, Plan, Source
 from laureldock.setup.rules import Bounds, check
@@ -117,7 +117,7 @@
 )
 
 
-def named(listed: Iterable[str], known: tuple[str, ...]) -> st.SearchStrategy[str]:
+def mostly_listed(listed: Iterable[str], known: tuple[str, ...]) -> st.SearchStrategy[str]:
     """Mostly what is listed, since most else is refused."""
     some = sorted(listed)
     return st.sampled_from([*some * 4, *known]) if some else st.sampled_from(known)
@@ -142,14 +142,14 @@
 def terms_entries(draw: st.DrawFn, listed: dict[str, str]) -> TermsEntry:
     known = {
         "kind": st.sampled_from(["shop", "office", "shop", "office", "shpo"]),
-        "destination": named(listed.values(), (*DESTINATIONS, "nowhere")),
-        "route": named(listed, (*ROUTES, "none")),
+        "destination": mostly_listed(listed.values(), (*DESTINATIONS, "nowhere")),
+        "route": mostly_listed(listed, (*ROUTES, "none")),
     }
     places = draw(st.sampled_from([(), *[(field,) for field in known] * 5, ("kind", "route")]))
     told = dict(draw(route_settings if "route" in places else one_setting))
     for field in places:
-        several = st.lists(known[field], max_size=2, unique=draw(st.booleans()))
-        told[field] = draw(st.one_of(known[field], known[field], several))
+        some_names = st.lists(known[field], max_size=2, unique=draw(st.booleans()))
+        told[field] = draw(st.one_of(known[field], known[field], some_names))
     if "window" not in told and draw(st.booleans()):
         told["queue_class"] = draw(st.sampled_from([*CLASSES, list(CLASSES)]))
     value = structs.replace(Entry(name=draw(st.sampled_from([None, None, "t1", "t2"]))), **told)
@@ -159,7 +159,7 @@
 def destination_entries(listed: dict[str, str]) -> st.SearchStrategy[DestinationEntry]:
     return st.builds(
         lambda name, kind, told: DestinationEntry(name, structs.replace(Destination(kind=kind), **told)),
-        named(listed.values(), DESTINATIONS),
+        mostly_listed(listed.values(), DESTINATIONS),
         st.sampled_from([None, *["shop", "office"] * 4, "shpo"]),
         told_settings,
     )
@@ -237,7 +237,7 @@
         assert vars(catalog.places) == vars(expected.places)
         assert vars(catalog.addresses) == vars(expected.addresses)
         assert catalog.endpoint_names == expected.endpoint_names
-        assert catalog.terms_naming == expected.terms_naming
+        assert catalog.terms_by_scope == expected.terms_by_scope
 
 
 @settings(max_examples=80, deadline=None, derandomize=True)
@@ -304,8 +304,8 @@
 
 def same_settings(catalog: Catalog, held: Held) -> bool:
     """Whether the book has what that of the whole file has, in whichever order."""
-    book, expected = catalog.term_book, term_book(whole(held))[0]
-    counted = book.settings == expected.settings and book.spots == expected.spots
+    book, expected = catalog.terms_index, index_terms(whole(held))[0]
+    counted = book.settings == expected.settings and book.scopes == expected.scopes
     return counted and {key: sorted(each.value for each in found) for key, found in book.entries.items()} == {
         key: sorted(each.value for each in found) for key, found in expected.entries.items()
     }
--- a/tests/test_changes_file.py
+++ b/tests/test_changes_file.py
@@ -9,7 +9,7 @@
 
 from laureldock.setup.catalog import Catalog, RefusedChangeError
 from laureldock.setup.changes import EntryKey, EntryKind
-from laureldock.setup.changes_file import placed_faults, read_changes
+from laureldock.setup.changes_file import locate_change_faults, read_changes
 from laureldock.setup.faults import Fault, RefusedError
 from laureldock.setup.units import Seconds
 
@@ -96,7 +96,7 @@
     )
     with pytest.raises(RefusedChangeError) as refused:
         catalog.apply(change)
-    found = placed_faults(refused.value.faults, where)
+    found = locate_change_faults(refused.value.faults, where)
     assert [(each.line, ".".join(map(str, each.fault.path))) for each in found] == [
         (1, "terms.destination=west.destination"),
         (8, "destination.north.kind"),
@@ -116,7 +116,7 @@
         Fault(("terms", "elsewhere", "route"), "names what is removed", "", ("endpoint", "old")),
         Fault((), "version 3 is the newest"),
     ]
-    found = placed_faults(faults, places)
+    found = locate_change_faults(faults, places)
     assert {each.fault.reason: (each.line, each.also_line) for each in found} == {
         "listed twice": (5, 0),
         "not there, so of its table": (2, 0),
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from laureldock.setup.terms import ANYWHERE, Level, Spot, TermBook
+from laureldock.setup.terms import EVERYWHERE, Level, Scope, TermsIndex
 
 CLASSES = ("a", "b")
 KINDS = {"k1": ("d1", "d2"), "k2": ("d3", "d4")}
@@ -19,11 +19,11 @@
 
 class Written(NamedTuple):
     queue_class: str
-    spot: Spot
+    scope: Scope
     value: int
 
     def covers(self) -> frozenset[tuple[str, str]]:
-        level, name = self.spot
+        level, name = self.scope
         names = {
             route: {Level.ANY: "", Level.KIND: OWNERS[owner], Level.DESTINATION: owner, Level.ROUTE: route}
             for route, owner in ROUTES.items()
@@ -36,7 +36,7 @@
 
 
 places = st.one_of(
-    st.just(ANYWHERE),
+    st.just(EVERYWHERE),
     *(
         st.tuples(st.just(level), st.sampled_from(sorted(names)))
         for level, names in ((Level.KIND, KINDS), (Level.DESTINATION, OWNERS), (Level.ROUTE, ROUTES))
@@ -50,12 +50,12 @@
 def test_what_holds_is_what_covers_least_and_what_cannot_be_told_is_a_conflict(
     written: list[Written],
 ) -> None:
-    book = TermBook()
+    book = TermsIndex()
     for place, each in enumerate(written):
-        assert book.add("time_out", each.value, ("terms", place), each.queue_class, each.spot) is None
+        assert book.add("time_out", each.value, ("terms", place), each.queue_class, each.scope) is None
     for sort, route in CELLS:
         destination = ROUTES[route]
-        where: list[Spot] = [
+        where: list[Scope] = [
             (Level.KIND, OWNERS[destination]), (Level.DESTINATION, destination), (Level.ROUTE, route)
         ]  # fmt: skip
         fit = [each for each in written if (sort, route) in each.covers()]
@@ -69,11 +69,11 @@
 
 
 def test_a_setting_stands_only_where_it_can_be_told() -> None:
-    book = TermBook()
-    for setting, queue_class, spot in (
-        ("window", "a", (Level.DESTINATION, "d1")), ("window", "", ANYWHERE),
+    book = TermsIndex()
+    for setting, queue_class, scope in (
+        ("window", "a", (Level.DESTINATION, "d1")), ("window", "", EVERYWHERE),
         ("connects", "", (Level.ROUTE, "d1/1")), ("retry_after", "a", (Level.ROUTE, "d1/1")),
     ):  # fmt: skip
-        fault = book.add(setting, 1, ("terms", 0, setting), queue_class, spot)
+        fault = book.add(setting, 1, ("terms", 0, setting), queue_class, scope)
         assert fault and setting in fault.reason and fault.allowed
     assert not book.settings
