--- a/laureldock/assembly.py
+++ b/laureldock/assembly.py
@@ -20,7 +20,7 @@
 from laureldock.setup.entries import index_terms
 from laureldock.setup.faults import dotted
 from laureldock.setup.plan import Plan
-from laureldock.setup.reload import changes, refused
+from laureldock.setup.reload import changed_tables, forbidden_changes
 from laureldock.setup.terms import TermsIndex
 from laureldock.setup.units import Address
 from laureldock.sockets.reactor import SteadyReactor, listen_error
@@ -229,7 +229,7 @@
         if not core.running:
             return
         plan.state, plan.management, plan.passed = self.plan.state, self.plan.management, self.plan.passed
-        changed = changes(self.plan, plan)
+        changed = changed_tables(self.plan, plan)
         self.plan = plan
         core.book.reclass(plan)
         core.tell(core.control.retell, core.book.tariff)
@@ -247,11 +247,11 @@
     def reload(self, fresh: Prepared) -> list[str]:
         """Take over what may change, or nothing: the names of what may not."""
         plan = fresh.plan
-        barred = refused(self.plan, plan)
+        barred = forbidden_changes(self.plan, plan)
         if barred:
             self.unread([f"{name} cannot change while it runs" for name in barred])
             return barred
-        changed = changes(self.plan, plan)
+        changed = changed_tables(self.plan, plan)
         if self.catalog is not None:
             if faults := self.rebase(plan):
                 self.unread(faults)
--- a/laureldock/cli/config.py
+++ b/laureldock/cli/config.py
@@ -11,7 +11,7 @@
 import click
 
 from laureldock.setup.faults import Path, RefusedError, dotted
-from laureldock.setup.reading import Loaded, load
+from laureldock.setup.reading import LoadedPlan, load
 
 CONTROLLER_COMMANDS = ("apply", "status")  # of config_changes.py
 MOST_SHOWN = 200  # faults; a file that repeats one is shown the rest by number
@@ -91,7 +91,7 @@
         click.echo(shown(loaded), nl=False)
 
 
-def plain(loaded: Loaded) -> dict[str, Any]:
+def plain(loaded: LoadedPlan) -> dict[str, Any]:
     """The plan as the file's own values, without what is not set."""
     import msgspec
 
@@ -111,11 +111,11 @@
     if isinstance(value, dict):
         return [leaf for name, each in value.items() for leaf in leaves(each, (*path, name))]
     if isinstance(value, list) and value and isinstance(value[0], dict):
-        return [leaf for place, each in enumerate(value) for leaf in leaves(each, (*path, place))]
+        return [leaf for index, each in enumerate(value) for leaf in leaves(each, (*path, index))]
     return [(path, value)]
 
 
-def shown(loaded: Loaded) -> str:
+def shown(loaded: LoadedPlan) -> str:
     import tomlkit
 
     origins, document = loaded.origins(), tomlkit.document()
@@ -134,9 +134,9 @@
                 into.add(name, inner)
             else:
                 array = tomlkit.aot()
-                for place, each in enumerate(value):
+                for index, each in enumerate(value):
                     inner = tomlkit.table()
-                    fill(inner, each, (*path, name, place))
+                    fill(inner, each, (*path, name, index))
                     array.append(inner)
                 into.add(name, array)
 
--- a/laureldock/cli/fleet.py
+++ b/laureldock/cli/fleet.py
@@ -40,7 +40,7 @@
         load = f"{each['load']:.0%}"
         told_of = each["name"], each["site"], state, str(each["generation"]), str(each["incarnation"])
         rows.append((*told_of, load, each["address"]))
-    widths = [max(len(row[place]) for row in rows) for place in range(len(rows[0]))]
+    widths = [max(len(row[index]) for row in rows) for index in range(len(rows[0]))]
     lines = [
         f"{told['name']} in {told['fleet']} ({told['standing']}): digest {told['digest']}, version"
         f" {told['version']}, still for {told['still_s']:.1f} s"
--- a/laureldock/cli/serve.py
+++ b/laureldock/cli/serve.py
@@ -112,7 +112,7 @@
     def retold() -> None:
         """The platform's file anew: the list's address, queue classes, limits; or nothing of it."""
         try:
-            plan, bounds = plan_from_platform(os.environ, again=True)
+            plan, bounds = plan_from_platform(os.environ, reload=True)
             if faults := faults_of(plan, bounds):
                 raise ValueError("; ".join(faults[:20]))
         except ValueError as fault:
--- a/laureldock/setup/__init__.py
+++ b/laureldock/setup/__init__.py
@@ -1,1 +1,1 @@
-"""From what operators write, or the platform tells, to one checked plan. Nothing here decides."""
+"""Reads the operators' or the platform's configuration and validates it into one plan."""
--- a/laureldock/setup/catalog.py
+++ b/laureldock/setup/catalog.py
@@ -1,7 +1,8 @@
 """All entries of a configuration that is changed entry by entry. No I/O, no clock.
 
-A change is checked by the rules of a whole file and applied whole or not at all, at a cost of what it names
-and what that selects, whatever else is held. docs/design/configuration-changes.md says how.
+A change is checked by the same rules as a file and applied as a whole or not at all. Its cost depends on the
+entries that it names and the places that they select, not on the size of the catalog. See
+docs/design/configuration-changes.md.
 """
 
 from __future__ import annotations
@@ -57,14 +58,14 @@
     EntryKind.CUSTOMER: CustomerEntry,
     EntryKind.CLASS: ClassEntry,
 }
-# Entries to be put, or None where they are removed.
-Values = Mapping[EntryKey, CatalogEntry | None]
+# The new entry for each key, or None to remove it.
+EntryValues = Mapping[EntryKey, CatalogEntry | None]
 
 
 class RefusedChangeError(ValueError):
-    """A change that is not taken, with all that is wrong with it. Nothing has changed.
+    """A change that was refused, with all its faults; the catalog is unchanged.
 
-    A fault's path is (kind, name, field...) of an entry, or (table, name, field...) of the base.
+    The path of a fault is (kind, name, field...) of an entry, or (table, name, field...) of the base.
     """
 
     def __init__(self, faults: list[Fault]) -> None:
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """Settings that hold anew, or no more, for a queue class ("": all) at a place."""
+    """Settings added, changed or removed for a queue class ("": all) in a scope."""
 
     queue_class: str
     scope: Scope
@@ -96,13 +97,13 @@
 
 @dataclass(slots=True)
 class AppliedChange:
-    """What a change touched: what is equal to what was held is not told."""
+    """The parts of the catalog that a change affected; entries put with an equal value are left out."""
 
     endpoints_put: list[EndpointPut] = field(default_factory=list)
     endpoints_removed: list[EndpointRemoved] = field(default_factory=list)
-    destinations: list[str] = field(default_factory=list)  # their kind or settings
-    kind_changed: list[str] = field(default_factory=list)  # those of them whose kind is another
-    selections: list[Selection] = field(default_factory=list)  # by [[terms]] and queue classes
+    destinations: list[str] = field(default_factory=list)  # with another kind or other settings
+    kind_changed: list[str] = field(default_factory=list)  # those of them with another kind
+    selections: list[Selection] = field(default_factory=list)  # of [[terms]] and queue classes
     classes: list[str] = field(default_factory=list)
     customers: list[str] = field(default_factory=list)
 
@@ -111,10 +112,11 @@
 
 
 class Catalog:
-    """Entries above a base: the dispatcher's or controller's file, which holds none itself.
+    """Entries on top of a base, which is the dispatcher's or controller's file and has no entries itself.
 
-    `live` is the base with the destinations, customers and queue classes in force (not endpoints and terms:
-    those are `plan()`'s); with `term_book` it is what a dispatcher looks up, kept up in place.
+    `in_force` is the base with the current destinations, customers and queue classes, but without endpoints
+    and terms, which only `plan()` has. Dispatchers look settings up in it and in `terms_index`; both are
+    updated in place.
     """
 
     def __init__(self, base: model.Plan, bounds: Bounds | None = None) -> None:
@@ -137,7 +139,7 @@
         self.endpoint_names: Groups[str, str] = {}  # by destination
         self.addresses = AddressIndex()
         self.places = PlaceIndex()
-        self.terms_by_scope: Groups[Scope, str] = {}  # names of terms by each destination and route they name
+        self.terms_by_scope: Groups[Scope, str] = {}  # names of terms by destination and route
 
     def __len__(self) -> int:
         return sum(map(len, self._held.values()))
@@ -147,14 +149,14 @@
         return None if value is None else self._entry(key, value)
 
     def entries(self) -> Iterator[CatalogEntry]:
-        """In the order of their keys: by kind and name."""
+        """All entries, ordered by kind and name."""
         for kind in sorted(self._held):
             held = self._held[kind]
             for name in sorted(held):
                 yield ENTRY_TYPES[kind](name, held[name])
 
     def plan(self) -> model.Plan:
-        """The whole file that means the same."""
+        """The plan of an equivalent file."""
         return structs.replace(
             self.in_force,
             source=model.Source(),
@@ -167,9 +169,9 @@
         )
 
     def apply(self, change: Change, *, missing_ok: bool = False) -> AppliedChange:
-        """Put and remove, whole or not at all. RefusedChangeError.
+        """Apply a change as a whole, or raise RefusedChangeError and change nothing.
 
-        `missing_ok`: what is to be removed need not be held. A controller refuses that, since a name may be
+        `missing_ok`: removals of missing entries are ignored. A controller refuses them, since a name may be
         mistyped; a dispatcher that follows it may have refused the change that put the entry.
         """
         keys = [*(entry.key for entry in change.puts), *change.removals]
@@ -183,24 +185,24 @@
         return self._commit(values, faults)
 
     def replace(self, entries: Iterable[CatalogEntry]) -> AppliedChange:
-        """All entries anew: what differs is applied as one change. RefusedChangeError."""
-        told = list(entries)
-        values: dict[EntryKey, CatalogEntry | None] = {entry.key: entry for entry in told}
-        faults = [*duplicates([entry.key for entry in told]), *misnamed_entries(told)]
+        """Replace all entries; the differences are applied as one change. Raises RefusedChangeError."""
+        given = list(entries)
+        values: dict[EntryKey, CatalogEntry | None] = {entry.key: entry for entry in given}
+        faults = [*duplicates([entry.key for entry in given]), *misnamed_entries(given)]
         for kind, held in self._held.items():
             for name in held:
                 values.setdefault(EntryKey(kind, name), None)
         return self._commit(values, faults)
 
-    # How a change is made
+    # Steps of a change
 
-    def _commit(self, told: Values, faults: list[Fault]) -> AppliedChange:
-        values = {key: entry for key, entry in told.items() if not self._holds(key, entry)}
+    def _commit(self, given: EntryValues, faults: list[Fault]) -> AppliedChange:
+        values = {key: entry for key, entry in given.items() if not self._holds(key, entry)}
         before = {key: self.get(key) for key in values}
-        touched = self._exchange(values, faults)
-        faults = faults_of(self, values, touched, faults)
+        affected = self._swap(values, faults)
+        faults = faults_of(self, values, affected, faults)
         if faults:
-            self._exchange(before, [])
+            self._swap(before, [])
             raise RefusedChangeError(faults)
         return applied(values, before)
 
@@ -208,56 +210,56 @@
         value = self._held[key.kind].get(key.name)
         return bool(value is None if entry is None else value == entry.value)
 
-    def _exchange(self, values: Values, faults: list[Fault]) -> AffectedPlaces:
-        """Put and remove unchecked; called with what was held before, it undoes that.
+    def _swap(self, values: EntryValues, faults: list[Fault]) -> AffectedPlaces:
+        """Put and remove entries without checks. A second call with the previous entries undoes the first.
 
-        Faults of settings that cannot stand where they do are added to those handed in.
+        Faults of settings that are not allowed where they stand are appended to `faults`.
         """
-        touched = self._touched(values)
-        before = self._states(touched)
+        affected = self._affected(values)
+        before = self._states(affected)
         for key, entry in values.items():
             self._set(key, entry, faults)
-        for old, new in zip(before, self._states(touched), strict=True):
+        for old, new in zip(before, self._states(affected), strict=True):
             if old != new:
                 self.places.move(old, new)
-        return touched
+        return affected
 
-    def _states(self, touched: AffectedPlaces) -> list[PlaceState | None]:
+    def _states(self, affected: AffectedPlaces) -> list[PlaceState | None]:
         return [
-            *map(self.destination_state, touched.destinations),
-            *map(self.route_state, touched.routes),
+            *map(self.destination_state, affected.destinations),
+            *map(self.route_state, affected.routes),
         ]
 
-    def _touched(self, values: Values) -> AffectedPlaces:
-        """Before it is made: what the change names, what that selects, and what it did name."""
-        touched = AffectedPlaces()
+    def _affected(self, values: EntryValues) -> AffectedPlaces:
+        """The places that a change affects, by its new and its previous entries. Called before it is made."""
+        affected = AffectedPlaces()
         for key, entry in values.items():
             value = None if entry is None else entry.value
             for each in (self._held[key.kind].get(key.name), value):
                 if isinstance(each, model.Endpoint):
-                    touched.destinations[each.destination] = (str(key.kind), key.name)
-                    touched.routes[key.name] = (str(key.kind), key.name)
+                    affected.destinations[each.destination] = (str(key.kind), key.name)
+                    affected.routes[key.name] = (str(key.kind), key.name)
                 elif isinstance(each, model.Entry):
                     for queue_class, scope in selected_scopes(each):
-                        touched.select(queue_class, scope)
+                        affected.select(queue_class, scope)
             if key.kind is EntryKind.DESTINATION:
-                touched.select("", (Level.DESTINATION, key.name))
+                affected.select("", (Level.DESTINATION, key.name))
             elif key.kind is EntryKind.CLASS and key.name in self.base.classes:
-                touched.select(key.name, class_pairs(key.name)[0][1])
-        for destination in touched.selected_destinations:
+                affected.select(key.name, class_pairs(key.name)[0][1])
+        for destination in affected.selected_destinations:
             for route in self.places.own_routes(destination):
-                touched.routes.setdefault(route)
-        return touched
+                affected.routes.setdefault(route)
+        return affected
 
     def destination_state(self, destination: str) -> PlaceState | None:
-        """None while nothing is listed there."""
+        """None if the destination has no endpoint and no entry."""
         if destination not in self.endpoint_names and destination not in self.in_force.destinations:
             return None
         own = self.terms_index.own_settings((Level.DESTINATION, destination))
         return PlaceState((destination, ""), kind_of(self.in_force, destination), own)
 
     def route_state(self, route: str) -> PlaceState | None:
-        """None if it is not listed, or has no settings of its own."""
+        """None if the route is not listed or has no settings of its own."""
         endpoint = self.endpoints.get(route)
         own = self.terms_index.own_settings((Level.ROUTE, route))
         if endpoint is None or not own:
@@ -272,7 +274,7 @@
         held = self._held[key.kind]
         before = held.get(key.name)
         path: Path = (str(key.kind), key.name)
-        owner_before = self._settings(key, before)
+        settings_before = self._settings(key, before)
         if before is not None:
             self.digest ^= entry_digest(self._entry(key, before))
         if entry is None:
@@ -283,17 +285,17 @@
         if key.kind is EntryKind.ENDPOINT:
             self._move_endpoint(key.name, before, held.get(key.name))
         elif key.kind is EntryKind.TERMS:
-            self._rename_terms(key.name, before, held.get(key.name))
-        owner_after = self._settings(key, held.get(key.name))
-        if key.kind is EntryKind.CLASS and owner_after is not None:
-            self.in_force.classes[key.name] = owner_after  # type: ignore[assignment]
-        if owner_before is not None:
-            remove_settings(self.terms_index, owner_before, path, self._pairs(key, owner_before))
-        if owner_after is not None:
-            faults += add_settings(self.terms_index, owner_after, path, self._pairs(key, owner_after))
+            self._move_terms(key.name, before, held.get(key.name))
+        settings_after = self._settings(key, held.get(key.name))
+        if key.kind is EntryKind.CLASS and settings_after is not None:
+            self.in_force.classes[key.name] = settings_after  # type: ignore[assignment]
+        if settings_before is not None:
+            remove_settings(self.terms_index, settings_before, path, self._pairs(key, settings_before))
+        if settings_after is not None:
+            faults += add_settings(self.terms_index, settings_after, path, self._pairs(key, settings_after))
 
     def _settings(self, key: EntryKey, value: Any) -> model.Terms | None:
-        """What holds settings by that key: of a queue class the base's, with the entry above it."""
+        """The table with the settings of that key; for a queue class the base's, overridden by the entry."""
         if key.kind is EntryKind.CLASS:
             base = self.base.classes.get(key.name)
             if base is None or value is None:
@@ -302,9 +304,9 @@
         return value if isinstance(value, model.Terms) else None
 
     @staticmethod
-    def _pairs(key: EntryKey, owner: model.Terms) -> list[tuple[str, Scope]]:
-        if isinstance(owner, model.Entry):
-            return list(selected_scopes(owner))
+    def _pairs(key: EntryKey, table: model.Terms) -> list[tuple[str, Scope]]:
+        if isinstance(table, model.Entry):
+            return list(selected_scopes(table))
         pairs = {
             EntryKind.CLASS: class_pairs,
             EntryKind.DESTINATION: destination_pairs,
@@ -313,7 +315,7 @@
         return pairs[key.kind](key.name)
 
     def _move_endpoint(self, name: str, before: model.Endpoint | None, after: model.Endpoint | None) -> None:
-        """In the indexes by destination and address; nothing is touched where it stays."""
+        """Update the indexes by destination and by address."""
         stays = before is not None and after is not None and before.destination == after.destination
         if before is not None and not stays:
             remove_from_group(self.endpoint_names, before.destination, name)
@@ -324,8 +326,8 @@
         if after is not None:
             self.addresses.add(after.destination, after.address, name)
 
-    def _rename_terms(self, name: str, before: model.Entry | None, after: model.Entry | None) -> None:
-        """In the index by what they name."""
+    def _move_terms(self, name: str, before: model.Entry | None, after: model.Entry | None) -> None:
+        """Update the index of terms by the scopes that they name."""
         for entry, change in ((before, remove_from_group), (after, add_to_group)):
             for _, scope in selected_scopes(entry) if entry is not None else ():
                 if scope[0] >= Level.DESTINATION:
@@ -337,13 +339,13 @@
         return entry
 
 
-def applied(values: Values, before: Values) -> AppliedChange:
-    """What the exchange of one for the other touched."""
+def applied(values: EntryValues, before: EntryValues) -> AppliedChange:
+    """The parts affected when the entries `before` are replaced by `values`."""
     found = AppliedChange()
     for key, entry in values.items():
         old = before[key]
-        some = entry or old
-        match some:
+        known = entry or old
+        match known:
             case EndpointEntry(name):
                 endpoint = old.value if isinstance(old, EndpointEntry) else None
                 if isinstance(entry, EndpointEntry):
@@ -368,7 +370,7 @@
 
 
 def selections(before: CatalogEntry | None, after: CatalogEntry | None) -> Iterator[Selection]:
-    """Of one entry, as it was and as it is: each place once."""
+    """Selections of one entry, old and new together; each queue class and scope once."""
     found: dict[tuple[str, Scope], frozenset[str]] = {}
     for entry in (before, after):
         if isinstance(entry, TermsEntry | ClassEntry):
--- a/laureldock/setup/catalog_index.py
+++ b/laureldock/setup/catalog_index.py
@@ -1,4 +1,4 @@
-"""Indexes of a catalog, kept up entry by entry, so that a change looks only at what it touches. No I/O."""
+"""Indexes of a catalog, updated entry by entry, so that a change reads only what it affects. No I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from laureldock.setup.terms import OwnSettings
 
-# A destination, and the name of one of its routes; "" for the destination itself.
+# A destination and the name of one of its routes, or "" for the destination itself.
 Place = tuple[str, str]
-# Kind of the destination, and what is set at the destination and at the route.
+# Kind of the destination, and the settings of the destination and of the route.
 Signature = tuple[str, OwnSettings, OwnSettings]
 
 Outer = TypeVar("Outer")
 Inner = TypeVar("Inner")
-# Sets by key; dicts without values, since those keep their order.
+# Ordered sets by key: dicts without values, since these keep the insertion order.
 Groups = dict[Outer, dict[Inner, None]]
 
 
@@ -24,7 +24,7 @@
 
 
 def remove_from_group(groups: Groups[Outer, Inner], key: Outer, member: Inner) -> None:
-    """Nothing where it was not in; no empty group is left behind."""
+    """Remove the member if it is there, and its group if that becomes empty."""
     members = groups.get(key, {})
     members.pop(member, None)
     if not members:
@@ -34,7 +34,7 @@
 class AddressIndex:
     """Names of endpoints by destination and address.
 
-    One each in all states that are accepted; several while a change is tried.
+    An accepted state has one name for each; there may be several while a change is tried.
     """
 
     def __init__(self) -> None:
@@ -53,13 +53,13 @@
             del self._names[key]
 
     def others(self, destination: str, address: str, name: str) -> tuple[str, ...]:
-        """Those that share the address with it."""
+        """The other endpoints with the same destination and address."""
         return tuple(each for each in self._names.get((destination, address), ()) if each != name)
 
 
 @dataclass(frozen=True, slots=True)
 class PlaceState:
-    """A place as it is at one time. Two with one kind and equal settings of their own are alike in all."""
+    """State of a place. The same settings are in force at places with equal signatures."""
 
     place: Place
     kind: str
@@ -72,15 +72,15 @@
 
 
 class PlaceIndex:
-    """Destinations, and routes with settings of their own, in groups of those that are alike.
+    """Destinations, and routes with settings of their own, grouped by signature.
 
-    What holds at one of a group holds at all of it. A route without own settings is in none: what holds there
-    holds at its destination.
+    The same settings are in force at all places of a group. A route without settings of its own is in no
+    group, since the settings of its destination are in force there.
     """
 
     def __init__(self) -> None:
         self._groups: dict[str, Groups[Signature, Place]] = {}  # by kind
-        self._own_routes: Groups[str, str] = {}  # names of the routes in it, by destination
+        self._own_routes: Groups[str, str] = {}  # names of indexed routes by destination
 
     def add(self, state: PlaceState) -> None:
         add_to_group(self._groups.setdefault(state.kind, {}), state.signature, state.place)
@@ -89,7 +89,7 @@
             add_to_group(self._own_routes, destination, route)
 
     def discard(self, state: PlaceState) -> None:
-        """The same that was added."""
+        """Remove a place, given in the state in which it was added."""
         groups = self._groups[state.kind]
         remove_from_group(groups, state.signature, state.place)
         if not groups:
@@ -99,21 +99,21 @@
             remove_from_group(self._own_routes, destination, route)
 
     def move(self, before: PlaceState | None, after: PlaceState | None) -> None:
-        """None: no place."""
+        """Replace one state by another; None: not indexed."""
         if before is not None:
             self.discard(before)
         if after is not None:
             self.add(after)
 
     def __bool__(self) -> bool:
-        """Whether there is any place."""
+        """Whether any place is indexed."""
         return bool(self._groups)
 
     def kinds(self) -> Iterator[str]:
         yield from self._groups
 
     def groups(self, kind: str) -> Iterator[Iterable[Place]]:
-        """Those that are alike, together."""
+        """The places of a kind, grouped by signature."""
         yield from self._groups.get(kind, {}).values()
 
     def own_routes(self, destination: str) -> list[str]:
--- a/laureldock/setup/changes.py
+++ b/laureldock/setup/changes.py
@@ -1,9 +1,8 @@
 """Changes of a configuration: typed entries that are put or removed. No I/O.
 
-An entry is what a reload of a file may change: an endpoint, a destination, settings of [[terms]], a customer,
-or the settings of a queue class. Each has a kind and a name of its own, by which a later change replaces or
-removes it. What an entry means is said by `laureldock.setup.plan`; whether a change may be taken is decided
-by `laureldock.setup.catalog`.
+An entry is one part of a file that a reload may change: an endpoint, a destination, an item of [[terms]], a
+customer, or the settings of a queue class. A kind and a name identify it, and a later change replaces or
+removes it by them. `laureldock.setup.plan` defines the values; `laureldock.setup.catalog` checks changes.
 """
 
 from __future__ import annotations
@@ -32,7 +31,7 @@
 
 
 class EntryKey(Struct, frozen=True, array_like=True, order=True, forbid_unknown_fields=True):
-    """What one entry is known by."""
+    """Identifies one entry."""
 
     kind: EntryKind
     name: str
@@ -42,7 +41,7 @@
 
 
 class ClassSettings(plan.Terms, kw_only=True):
-    """What a reload may change of a queue class: settings, which replace those of the dispatcher's file."""
+    """Settings of a queue class that a reload may change; they replace those of the file."""
 
 
 class EndpointEntry(Struct, tag="endpoint", array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -64,7 +63,7 @@
 
 
 class TermsEntry(Struct, tag="terms", array_like=True, frozen=True, forbid_unknown_fields=True):
-    name: str  # `terms_name`: as given, else made of what it selects
+    name: str  # from `terms_name`
     value: plan.Entry
 
     @property
@@ -91,7 +90,7 @@
 
 
 def terms_name(value: plan.Entry) -> str:
-    """As given, else made of what it selects: `class=a+b,destination=c`; `all` where it names nothing."""
+    """The given name, else derived from the selectors, as `class=a+b,destination=c`; `all` without any."""
     if value.name is not None:
         return value.name
     selected = (
@@ -100,7 +99,7 @@
         ("destination", value.destination),
         ("route", value.route),
     )
-    parts = [f"{field}={'+'.join(as_list(told))}" for field, told in selected if told is not None]
+    parts = [f"{field}={'+'.join(as_list(given))}" for field, given in selected if given is not None]
     return ",".join(parts) or "all"
 
 
@@ -108,23 +107,23 @@
 
 
 class Change(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Applied as a whole or not at all; a key stands in it once. The order within it means nothing."""
+    """Entries to put and to remove, applied as a whole or not at all, in any order. A key occurs once."""
 
     puts: tuple[CatalogEntry, ...] = ()
     removals: tuple[EntryKey, ...] = ()
 
 
 class UnreadableChangeError(ValueError):
-    """Encoded bytes that are no change of this program's format."""
+    """Encoded bytes that are not a change, or not entries, in this program's format."""
 
 
 _encoder = msgspec.msgpack.Encoder()
-_changes = msgspec.msgpack.Decoder(Change, dec_hook=decode)
-_entries = msgspec.msgpack.Decoder(tuple[CatalogEntry, ...], dec_hook=decode)
+_change_decoder = msgspec.msgpack.Decoder(Change, dec_hook=decode)
+_entries_decoder = msgspec.msgpack.Decoder(tuple[CatalogEntry, ...], dec_hook=decode)
 
 
 def _compact(entry: CatalogEntry) -> list[Any]:
-    """An entry as plain values without what is not set: shorter, and the same for equal entries."""
+    """An entry as plain values without unset fields: shorter, and identical for equal entries."""
     tag, name, value = msgspec.to_builtins(entry, enc_hook=encode)
     return [tag, name, {field: each for field, each in value.items() if each is not None}]
 
@@ -135,11 +134,11 @@
 
 
 def decode_change(body: bytes) -> Change:
-    """UnreadableChangeError."""
+    """Raises UnreadableChangeError."""
     try:
-        return _changes.decode(body)
-    except (msgspec.DecodeError, RecursionError) as fault:
-        raise UnreadableChangeError(str(fault)) from None
+        return _change_decoder.decode(body)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise UnreadableChangeError(str(error)) from None
 
 
 def encode_entries(entries: Iterable[CatalogEntry]) -> bytes:
@@ -147,13 +146,13 @@
 
 
 def decode_entries(body: bytes) -> tuple[CatalogEntry, ...]:
-    """UnreadableChangeError."""
+    """Raises UnreadableChangeError."""
     try:
-        return _entries.decode(body)
-    except (msgspec.DecodeError, RecursionError) as fault:
-        raise UnreadableChangeError(str(fault)) from None
+        return _entries_decoder.decode(body)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise UnreadableChangeError(str(error)) from None
 
 
 def entry_digest(entry: CatalogEntry) -> int:
-    """What one entry adds, by exclusive or, to the digest of all entries: equal where states are."""
+    """Hash of one entry. The XOR of all hashes is the digest of a catalog, equal for equal catalogs."""
     return xxh3_64_intdigest(_encoder.encode(_compact(entry))) >> 2
--- a/laureldock/setup/changes_file.py
+++ b/laureldock/setup/changes_file.py
@@ -1,6 +1,6 @@
-"""CHANGES.toml: what `laureldock config apply` puts and removes, with the lines of the file for its faults.
+"""CHANGES.toml, the entries that `laureldock config apply` puts and removes, and the lines of its faults.
 
-The tables are those of a configuration, for what is put; `remove` names what is removed:
+Entries to put stand in the tables of a configuration; `remove` lists the entries to remove:
 
     remove = ["endpoint.bank-1", "terms.class=payment,route=office-1"]
 """
@@ -30,21 +30,21 @@
 )
 from laureldock.setup.entries import name_of
 from laureldock.setup.faults import Fault, LocatedFault, Path, RefusedError
-from laureldock.setup.places import nearest_line, places
-from laureldock.setup.reading import locate_faults, parse_file, walk
+from laureldock.setup.places import line_numbers, nearest_line
+from laureldock.setup.reading import form_faults, locate_faults, parse_file
 from laureldock.setup.units import decode
 
 Removal = Annotated[
     str,
     Meta(
         pattern=rf"^({'|'.join(EntryKind)})\..+$",
-        description="kind and name of an entry, as endpoint.bank-1",
+        description="kind and name of an entry, for example endpoint.bank-1",
     ),
 ]
 
 
 class ChangesFile(plan.Table, kw_only=True):
-    """The format of the file."""
+    """Format of the file."""
 
     classes: dict[plan.Name, ClassSettings] = field(default_factory=dict, name="class")
     destinations: dict[plan.DestinationName, plan.Destination] = field(
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryLocations:
-    """Where in the file each entry of a change stands."""
+    """The path in the file of each entry of a change."""
 
     file: str
     text: bytes
     paths: dict[EntryKey, Path]
 
     def in_file(self, path: Path) -> Path | None:
-        """Of the path (kind, name, field...) of a fault; None for what is not in the file."""
+        """The path in the file for a fault's path (kind, name, field...); None if it is not in the file."""
         if len(path) < 2 or path[0] not in list(EntryKind):
             return None
         found = self.paths.get(EntryKey(EntryKind(path[0]), str(path[1])))
@@ -75,18 +75,18 @@
 
 
 def read_changes(path: str) -> tuple[Change, EntryLocations]:
-    """RefusedError tells all faults of form."""
-    text, told = parse_file(path)
+    """Read a file into a change. Raises RefusedError with all faults of its form."""
+    text, document = parse_file(path)
     try:
-        file = msgspec.convert(told, ChangesFile, dec_hook=decode)
-    except ValidationError as fault:
-        faults = list(walk(told, ChangesFile, ())) or [Fault((), str(fault))]
+        file = msgspec.convert(document, ChangesFile, dec_hook=decode)
+    except ValidationError as error:
+        faults = list(form_faults(document, ChangesFile, ())) or [Fault((), str(error))]
         raise RefusedError(locate_faults(path, text, faults, [])) from None
     entries = list(entries_of(file))
     paths: dict[EntryKey, Path] = {}
     for key, at in (*((entry.key, at) for entry, at in entries), *removals_of(file)):
         paths.setdefault(key, at)
-    if faults := list(twice(file, entries, paths)) or nothing(paths):
+    if faults := list(repeated_entries(file, entries, paths)) or empty_change(paths):
         raise RefusedError(locate_faults(path, text, faults, []))
     puts = tuple(entry for entry, _ in entries)
     removals = tuple(key for key, _ in removals_of(file))
@@ -94,13 +94,13 @@
 
 
 def entries_of(file: ChangesFile) -> Iterator[tuple[CatalogEntry, Path]]:
-    """Each that is put, with its path in the file."""
-    for place, endpoint in enumerate(file.endpoints):
-        yield EndpointEntry(name_of(endpoint), endpoint), ("endpoint", place)
+    """The entries to put, with their paths in the file."""
+    for index, endpoint in enumerate(file.endpoints):
+        yield EndpointEntry(name_of(endpoint), endpoint), ("endpoint", index)
     for name, destination in file.destinations.items():
         yield DestinationEntry(name, destination), ("destination", name)
-    for place, terms in enumerate(file.terms):
-        yield TermsEntry(terms_name(terms), terms), ("terms", place)
+    for index, terms in enumerate(file.terms):
+        yield TermsEntry(terms_name(terms), terms), ("terms", index)
     for name, customer in file.customers.items():
         yield CustomerEntry(name, customer), ("customer", name)
     for name, settings in file.classes.items():
@@ -108,42 +108,42 @@
 
 
 def removals_of(file: ChangesFile) -> Iterator[tuple[EntryKey, Path]]:
-    for place, removal in enumerate(file.remove):
+    for index, removal in enumerate(file.remove):
         kind, _, name = removal.partition(".")
-        yield EntryKey(EntryKind(kind), name), ("remove", place)
+        yield EntryKey(EntryKind(kind), name), ("remove", index)
 
 
-def twice(
+def repeated_entries(
     file: ChangesFile, entries: list[tuple[CatalogEntry, Path]], paths: dict[EntryKey, Path]
 ) -> Iterator[Fault]:
-    """Entries that stand in the file a second time."""
+    """Faults of entries that occur in the file more than once."""
     for key, at in (*((entry.key, at) for entry, at in entries), *removals_of(file)):
         first = paths[key]
         if at == first:
             continue
         both = "removed twice" if first[0] == "remove" else "put and removed"
         reason = f"{key} is {'put twice' if at[0] != 'remove' else both}"
-        yield Fault(at, reason, "once in one change", first)
+        yield Fault(at, reason, "each entry once per change", first)
 
 
-def nothing(paths: dict[EntryKey, Path]) -> list[Fault]:
+def empty_change(paths: dict[EntryKey, Path]) -> list[Fault]:
     return [] if paths else [Fault((), "changes nothing", "entries to put, or `remove`")]
 
 
-def locate_change_faults(faults: Iterable[Fault], where: EntryLocations) -> list[LocatedFault]:
-    """Faults of a change that was refused, with the lines of its file, in their order.
+def locate_change_faults(faults: Iterable[Fault], locations: EntryLocations) -> list[LocatedFault]:
+    """Faults of a refused change with their lines in its file, sorted by line.
 
-    What is at fault may not be in the file, as terms that name an endpoint which is removed: then it stands
-    at the entry that disagrees with it, or at the file alone.
+    The entry at fault may not be in the file, such as terms that name an endpoint that the file removes. Then
+    the line is that of the entry that contradicts it, or 0.
     """
-    lines = places(where.text)
+    lines = line_numbers(locations.text)
 
-    def line(path: Path | None) -> int:
-        found = where.in_file(path) if path else None
+    def line_in_file(path: Path | None) -> int:
+        found = locations.in_file(path) if path else None
         return nearest_line(found, lines) if found else 0
 
-    told: list[LocatedFault] = []
+    located: list[LocatedFault] = []
     for fault in faults:
-        also = line(fault.also)
-        told.append(LocatedFault(where.file, line(fault.path) or also, fault, also))
-    return sorted(told, key=lambda each: each.line)
+        also = line_in_file(fault.also)
+        located.append(LocatedFault(locations.file, line_in_file(fault.path) or also, fault, also))
+    return sorted(located, key=lambda each: each.line)
--- a/laureldock/setup/entries.py
+++ b/laureldock/setup/entries.py
@@ -1,4 +1,4 @@
-"""The operators' settings of a plan, entered in one book, and what they may name."""
+"""Adds the operators' settings of a plan to one index, under the queue classes and scopes that they name."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def destination_id(destination: str) -> int | str:
-    """As fronts name it."""
+    """The destination as fronts name it: a number if it has only digits."""
     return int(destination) if destination.isdigit() else destination
 
 
@@ -25,22 +25,23 @@
 
 
 def scopes_of(kind: str, destination: str, route: str = "") -> list[Scope]:
-    """The places in which a route, or a destination, lies."""
+    """The scopes that contain a route, or a destination."""
     found = [(Level.KIND, kind), (Level.DESTINATION, destination), (Level.ROUTE, route)]
     return [(level, name) for level, name in found if name]
 
 
-def as_list(told: str | list[str] | None) -> list[str]:
-    return [""] if told is None else [told] if isinstance(told, str) else told
+def as_list(given: str | list[str] | None) -> list[str]:
+    """The names of a selector; without one, the empty name, which stands for all."""
+    return [""] if given is None else [given] if isinstance(given, str) else given
 
 
 def selected_scopes(entry: Entry) -> Iterator[tuple[str, Scope]]:
-    """The queue class and the place of each pair that an entry names."""
+    """Each pair of a queue class ("": all) and a scope that an entry names."""
     places: list[Scope] = [EVERYWHERE]
     for level in (Level.KIND, Level.DESTINATION, Level.ROUTE):
-        told = getattr(entry, level.name.lower())
-        if told is not None:
-            places = [(level, name) for name in as_list(told)]
+        given = getattr(entry, level.name.lower())
+        if given is not None:
+            places = [(level, name) for name in as_list(given)]
     for queue_class in as_list(entry.queue_class):
         for scope in places:
             yield queue_class, scope
@@ -58,48 +59,48 @@
     return [("", (Level.ROUTE, name))]
 
 
-def settings_owners(plan: Plan) -> Iterator[tuple[Terms, Path, list[tuple[str, Scope]]]]:
-    """Whatever holds settings, its path, and what it names."""
+def settings_tables(plan: Plan) -> Iterator[tuple[Terms, Path, list[tuple[str, Scope]]]]:
+    """Each table with settings, its path, and the queue classes and scopes that it names."""
     for name, each in plan.classes.items():
         yield each, ("class", name), class_pairs(name)
     for name, kind in plan.kinds.items():
         yield kind, ("kind", name), [("", (Level.KIND, name))]
     for name, destination in plan.destinations.items():
         yield destination, ("destination", name), destination_pairs(name)
-    for place, endpoint in enumerate(plan.endpoints):
-        yield endpoint, ("endpoint", place), endpoint_pairs(name_of(endpoint))
-    for place, entry in enumerate(plan.terms):
-        yield entry, ("terms", place), list(selected_scopes(entry))
+    for index, endpoint in enumerate(plan.endpoints):
+        yield endpoint, ("endpoint", index), endpoint_pairs(name_of(endpoint))
+    for index, entry in enumerate(plan.terms):
+        yield entry, ("terms", index), list(selected_scopes(entry))
 
 
-def settings_of(owner: Terms) -> Iterator[tuple[str, Any]]:
-    """What of the settings is set there, with its value."""
+def settings_of(table: Terms) -> Iterator[tuple[str, Any]]:
+    """The settings that a table sets, with their values."""
     for setting in SETTINGS:
-        value = getattr(owner, setting)
+        value = getattr(table, setting)
         if value is not None:
             yield setting, value
 
 
 def add_settings(
-    book: TermsIndex, owner: Terms, path: Path, pairs: Sequence[tuple[str, Scope]]
+    index: TermsIndex, table: Terms, path: Path, pairs: Sequence[tuple[str, Scope]]
 ) -> list[Fault]:
-    """Put the settings of an owner in the book; a fault for each that cannot stand there."""
+    """Add the settings of a table to the index; returns a fault for each that is not allowed there."""
     faults = []
-    for setting, value in settings_of(owner):
-        wrong = [book.add(setting, value, (*path, setting), *pair) for pair in pairs]
+    for setting, value in settings_of(table):
+        wrong = [index.add(setting, value, (*path, setting), *pair) for pair in pairs]
         faults += [fault for fault in wrong if fault][:1]
     return faults
 
 
-def remove_settings(book: TermsIndex, owner: Terms, path: Path, pairs: Sequence[tuple[str, Scope]]) -> None:
-    """The other way; what could not be entered is passed over."""
-    for setting, _ in settings_of(owner):
+def remove_settings(index: TermsIndex, table: Terms, path: Path, pairs: Sequence[tuple[str, Scope]]) -> None:
+    """Undo `add_settings`; settings that were not added are ignored."""
+    for setting, _ in settings_of(table):
         for pair in pairs:
-            book.remove(setting, (*path, setting), *pair)
+            index.remove(setting, (*path, setting), *pair)
 
 
 def index_terms(plan: Plan) -> tuple[TermsIndex, list[Fault]]:
-    book, faults = TermsIndex(), []
-    for owner, path, pairs in settings_owners(plan):
-        faults += add_settings(book, owner, path, pairs)
-    return book, faults
+    index, faults = TermsIndex(), []
+    for table, path, pairs in settings_tables(plan):
+        faults += add_settings(index, table, path, pairs)
+    return index, faults
--- a/laureldock/setup/faults.py
+++ b/laureldock/setup/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a configuration: each with its place, the reason, and what would be allowed."""
+"""Faults of a configuration: each has a path, a reason, and the allowed values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def dotted(path: Path) -> str:
-    """As a person would name it: `class.payment.time_out`, `endpoint[3].address`."""
+    """The path as text: `class.payment.time_out`, `endpoint[3].address`."""
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else part
@@ -21,12 +21,12 @@
     path: Path
     reason: str
     allowed: str = ""
-    also: Path | None = None  # the other place, where two disagree
+    also: Path | None = None  # the other setting, if two contradict each other
 
 
 @dataclass(frozen=True, slots=True)
 class LocatedFault:
-    """A fault with the lines of its places, as shown."""
+    """A fault with its file and lines, as printed."""
 
     file: str
     line: int
@@ -45,13 +45,13 @@
 
     def fields(self) -> dict[str, object]:
         fault = self.fault
-        told = {"file": self.file, "line": self.line, "place": dotted(fault.path), "reason": fault.reason}
-        told |= {"allowed": fault.allowed} if fault.allowed else {}
-        return told | ({"also": dotted(fault.also), "also_line": self.also_line} if fault.also else {})
+        found = {"file": self.file, "line": self.line, "place": dotted(fault.path), "reason": fault.reason}
+        found |= {"allowed": fault.allowed} if fault.allowed else {}
+        return found | ({"also": dotted(fault.also), "also_line": self.also_line} if fault.also else {})
 
 
 class RefusedError(ValueError):
-    """A configuration that is not taken, with all that is wrong with it."""
+    """A configuration that was refused, with all its faults; the message has the first three."""
 
     def __init__(self, faults: Sequence[LocatedFault]) -> None:
         super().__init__("; ".join(str(fault) for fault in faults[:3]))
--- a/laureldock/setup/platform.py
+++ b/laureldock/setup/platform.py
@@ -1,4 +1,4 @@
-"""What the platform tells, its environment, its JSON and the simulator's profile, read into a plan."""
+"""Converts the platform's environment and JSON, and the simulator's profile, into a plan."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     Source,
 )
 from laureldock.setup.rules import Bounds
-from laureldock.setup.units import Seconds, Size, address
+from laureldock.setup.units import Seconds, Size, parse_address
 
 Fields = dict[str, Any]
 NS = 1e9
 EFFECTS = {"retryable": "redeliverable", "dedup": "tagged", "fragile": "once-only"}
-# By the platform's protocol clients send one command at a time; who sends many at once is no client of it.
+# Clients of the platform's protocol send one command at a time; one that sends many does not follow it.
 PIPELINE = 16
 
 
@@ -32,22 +32,22 @@
     return Seconds(float(value or 0) / NS)
 
 
-def queue_class(entry: Fields) -> QueueClass:
-    tagged = entry["effect"] == "dedup"
+def queue_class(each: Fields) -> QueueClass:
+    tagged = each["effect"] == "dedup"
     return QueueClass(
-        effect=EFFECTS[entry["effect"]],  # type: ignore[arg-type]
-        importance=float(entry["points"]),
-        target_delay=seconds(entry["aim_ns"]),
-        lifetime=seconds(entry["deadline_ns"]),
-        late_share=float(entry.get("late_share") or 0),
-        in_order=bool(entry.get("in_order")),
-        memory=seconds(entry.get("window_ns")) if tagged else None,
-        one_zone=tagged and entry.get("dedup_scope") != "all",
+        effect=EFFECTS[each["effect"]],  # type: ignore[arg-type]
+        importance=float(each["points"]),
+        target_delay=seconds(each["aim_ns"]),
+        lifetime=seconds(each["deadline_ns"]),
+        late_share=float(each.get("late_share") or 0),
+        in_order=bool(each.get("in_order")),
+        memory=seconds(each.get("window_ns")) if tagged else None,
+        one_zone=tagged and each.get("dedup_scope") != "all",
     )
 
 
 def plan_from_profile(seed: int, profile: Fields, sockets: bool) -> Plan:
-    """The settings that an instance is given at its start. KeyError, TypeError, ValueError."""
+    """The plan for the settings of an instance at startup. Raises KeyError, TypeError, ValueError."""
     limits, rules, family = profile["limits"], profile["invariants"], profile["family_info"]
     batches, apart = family.get("batch_by_kind") or [], family.get("routes_apart") or []
     listens = sockets or profile.get("discovery") == "subscribe"
@@ -79,20 +79,20 @@
             warm_time=seconds(rules["warm_after_ns"]),
         ),
         source=Source(kind="platform" if listens else "file"),
-        classes={entry["name"]: queue_class(entry) for entry in profile["classes"]},
+        classes={each["name"]: queue_class(each) for each in profile["classes"]},
         kinds={
-            name: Kind(batch=max([1, *batches[place : place + 1]]), apart=any(apart[place : place + 1]))
-            for place, name in enumerate(profile.get("kinds") or [])
+            name: Kind(batch=max([1, *batches[index : index + 1]]), apart=any(apart[index : index + 1]))
+            for index, name in enumerate(profile.get("kinds") or [])
         },
         customers={
-            entry["name"]: Customer(quota=float(entry.get("quota_per_s") or 0))
-            for entry in profile.get("customers") or []
+            each["name"]: Customer(quota=float(each.get("quota_per_s") or 0))
+            for each in profile.get("customers") or []
         },
     )
 
 
 def bounds(profile: Fields) -> Bounds:
-    """What the platform's own limits allow."""
+    """The bounds that the platform's limits set."""
     limits, rules = profile["limits"], profile["invariants"]
     return Bounds(
         connects=limits["max_attempts"],
@@ -102,68 +102,71 @@
     )
 
 
-def told(environ: Mapping[str, str]) -> Fields:
-    """The JSON that LB_CONFIG names. ValueError in plain words."""
+def read_configuration(environ: Mapping[str, str]) -> Fields:
+    """Read the JSON file that LB_CONFIG names. Raises ValueError with a message for operators."""
     try:
-        found: Fields = json.loads(Path(environ["LB_CONFIG"]).read_bytes())
-    except (OSError, RecursionError) as fault:
-        raise ValueError(f"LB_CONFIG: {fault}") from None
-    return found
+        configuration: Fields = json.loads(Path(environ["LB_CONFIG"]).read_bytes())
+    except (OSError, RecursionError) as error:
+        raise ValueError(f"LB_CONFIG: {error}") from None
+    return configuration
 
 
 def is_positive(value: Any) -> bool:
     return isinstance(value, int | float) and not isinstance(value, bool) and value > 0
 
 
-def unsound(found: Fields) -> list[str]:
-    """What makes a file that comes at SIGHUP be turned down whole, beyond what cannot be read."""
+def reload_faults(configuration: Fields) -> list[str]:
+    """Faults that a file read at SIGHUP is refused for, beyond those that make it unreadable."""
     faults = []
     try:
-        profile = found["settings"]
+        profile = configuration["settings"]
         if not is_positive(profile["limits"]["max_attempts"]):
             faults.append(
-                f"settings.limits.max_attempts: no number above 0: {profile['limits']['max_attempts']!r}"
+                f"settings.limits.max_attempts: must be above 0, not {profile['limits']['max_attempts']!r}"
             )
-        for place, entry in enumerate(profile["classes"]):
-            if not is_positive(entry["deadline_ns"]):
+        for index, each in enumerate(profile["classes"]):
+            if not is_positive(each["deadline_ns"]):
                 faults.append(
-                    f"settings.classes[{place}].deadline_ns: no number above 0: {entry['deadline_ns']!r}"
+                    f"settings.classes[{index}].deadline_ns: must be above 0, not {each['deadline_ns']!r}"
                 )
         if not profile["classes"]:
-            faults.append("settings.classes: none")
-    except (KeyError, TypeError, IndexError) as fault:
-        faults.append(f"{fault!r} is missing or of the wrong kind")
+            faults.append("settings.classes: no queue class")
+    except (KeyError, TypeError, IndexError) as error:
+        faults.append(f"{error!r} is missing or has the wrong type")
     return faults
 
 
-def plan_from_platform(environ: Mapping[str, str], again: bool = False) -> tuple[Plan, Bounds]:
-    """The plan of a dispatcher on the platform, and what it is held to. ValueError in plain words.
+def plan_from_platform(environ: Mapping[str, str], reload: bool = False) -> tuple[Plan, Bounds]:
+    """The plan of a dispatcher on the platform, and its bounds. Raises ValueError, with a plain message.
 
-    `again`: a file read at SIGHUP, held to more, since a dispatcher that runs keeps its settings rather.
+    `reload`: the file is read at SIGHUP. It is checked more strictly, since a running dispatcher can keep the
+    settings that it has.
     """
     try:
-        found = told(environ)
-        if again and (faults := unsound(found)):
+        configuration = read_configuration(environ)
+        if reload and (faults := reload_faults(configuration)):
             raise ValueError("; ".join(faults))
-        profile, limits = found["settings"], found["limits"]
-        plan = plan_from_profile(int(found["seed"], 16), profile, True)
-        plan.name = str(environ.get("LB_NAME") or found["name"])
+        profile, limits = configuration["settings"], configuration["limits"]
+        plan = plan_from_profile(int(configuration["seed"], 16), profile, True)
+        plan.name = str(environ.get("LB_NAME") or configuration["name"])
         plan.state = environ["LB_STATE"]
         plan.limits.sockets = int(limits["sockets"])
         plan.limits.disk = Size(float(limits["disk_mb"]) * 1e6)
-        listen = address(environ.get("LB_LISTEN") or found["listen"])
-        # At SIGHUP the file is newer than the environment, which was told at the start.
-        directory = address(
-            found["discovery"] if again else environ.get("LB_DISCOVERY") or found["discovery"]
+        listen = parse_address(environ.get("LB_LISTEN") or configuration["listen"])
+        # At SIGHUP the file is newer than the environment, which was set at startup.
+        directory = parse_address(
+            configuration["discovery"]
+            if reload
+            else environ.get("LB_DISCOVERY") or configuration["discovery"]
         )
         plan.front = [Front(listen=listen, pipeline=PIPELINE)]
-        told_at = environ.get("LB_MANAGEMENT") or found.get("management")
-        plan.management = address(told_at) if told_at else ""
+        management_address = environ.get("LB_MANAGEMENT") or configuration.get("management")
+        plan.management = parse_address(management_address) if management_address else ""
         plan.passed = int(environ.get("LB_PASSED_SOCKET") or -1)
-        plan.source = Source(kind="platform", address=directory, known=found["known"])
+        plan.source = Source(kind="platform", address=directory, known=configuration["known"])
         plan.outlet = Outlet(kind="platform", address=directory)
         return plan, bounds(profile)
-    except KeyError as fault:
-        raise ValueError(f"{fault} is not set") from None
-    except (TypeError, AttributeError) as fault:
-        raise ValueError(str(fault)) from None
+    except KeyError as error:
+        raise ValueError(f"{error} is not set") from None
+    except (TypeError, AttributeError) as error:
+        raise ValueError(str(error)) from None
--- a/laureldock/setup/reading.py
+++ b/laureldock/setup/reading.py
@@ -1,4 +1,4 @@
-"""A configuration file read and checked: a plan and where each value came from, or every fault at once."""
+"""Reads and checks a configuration file: a plan and the origin of each value, or all faults."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from msgspec import Struct, ValidationError
 
 from laureldock.setup.faults import Fault, LocatedFault, RefusedError
-from laureldock.setup.faults import Path as Place
+from laureldock.setup.faults import Path as KeyPath
 from laureldock.setup.plan import Plan
 from laureldock.setup.rules import Bounds, check
 from laureldock.setup.units import decode
 
-MOST_BYTES = 64 << 20  # some hundred thousand endpoints
-AT_LINE = re.compile(r" ?\(at (?:line (\d+), column \d+|end of document)\)")
-# What an environment variable may say, beside the same flag of `serve`.
-OVERRIDES: dict[str, Place] = {
+MAX_FILE_BYTES = 64 << 20  # enough for a few hundred thousand endpoints
+ERROR_POSITION = re.compile(r" ?\(at (?:line (\d+), column \d+|end of document)\)")
+# Settings that an environment variable or a flag of `serve` may override.
+OVERRIDE_PATHS: dict[str, KeyPath] = {
     "name": ("name",),
     "seed": ("seed",),
     "state": ("state",),
@@ -36,132 +36,136 @@
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """A value from outside the file, and where from: the environment or a flag."""
+    """A value from outside the file and its origin: the environment or a flag."""
 
-    path: Place
+    path: KeyPath
     value: Any
     origin: str
 
 
 @dataclass(slots=True)
-class Loaded:
+class LoadedPlan:
     plan: Plan
     state: Path
     file: str = ""
     text: bytes = b""
-    told: dict[str, Any] = field(default_factory=dict)
+    document: dict[str, Any] = field(default_factory=dict)
     overrides: list[Override] = field(default_factory=list)
 
-    def origins(self) -> dict[Place, str]:
-        """Where each value that is no default came from."""
-        from laureldock.setup.places import places  # the parser is loaded for people alone
+    def origins(self) -> dict[KeyPath, str]:
+        """Origin of each value that is not a default."""
+        from laureldock.setup.places import line_numbers  # the parser is imported only to show lines
 
-        found = {path: f"{self.file}:{line}" for path, line in places(self.text).items()}
-        return found | {each.path: each.origin for each in self.overrides}
+        lines = {path: f"{self.file}:{line}" for path, line in line_numbers(self.text).items()}
+        return lines | {each.path: each.origin for each in self.overrides}
 
 
-def load(path: str, overrides: list[Override] | None = None, bounds: Bounds | None = None) -> Loaded:
-    """Read a file. RefusedError tells all faults of it."""
+def load(path: str, overrides: list[Override] | None = None, bounds: Bounds | None = None) -> LoadedPlan:
+    """Read and check a file. Raises RefusedError with all its faults."""
     overrides = overrides or []
-    text, told = parse_file(path)
+    text, document = parse_file(path)
     for each in overrides:
-        put(told, each)
+        apply_override(document, each)
     try:
-        plan = msgspec.convert(told, Plan, dec_hook=decode)
-    except ValidationError as fault:
-        found = list(walk(told, Plan, ())) or [Fault((), str(fault))]
-        raise RefusedError(locate_faults(path, text, found, overrides)) from None
+        plan = msgspec.convert(document, Plan, dec_hook=decode)
+    except ValidationError as error:
+        faults = list(form_faults(document, Plan, ())) or [Fault((), str(error))]
+        raise RefusedError(locate_faults(path, text, faults, overrides)) from None
     state = Path(path).parent / plan.state
-    found = check(plan, bounds or Bounds()) + list(folders(plan, state))
-    if found:
-        raise RefusedError(locate_faults(path, text, found, overrides))
-    return Loaded(plan, state, path, text, told, overrides)
+    faults = check(plan, bounds or Bounds()) + list(state_folder_faults(plan, state))
+    if faults:
+        raise RefusedError(locate_faults(path, text, faults, overrides))
+    return LoadedPlan(plan, state, path, text, document, overrides)
 
 
 def parse_file(path: str) -> tuple[bytes, dict[str, Any]]:
     line, reason = 0, ""
     try:
-        text = read(path)
+        text = read_limited(path)
         return text, tomllib.loads(text.decode())
-    except OSError as fault:
-        reason = f"cannot be read: {fault.strerror or fault}"
-    except UnicodeDecodeError as fault:
-        line, reason = fault.object[: fault.start].count(b"\n") + 1, "not UTF-8 text"
-    except tomllib.TOMLDecodeError as fault:
-        found = AT_LINE.search(str(fault))
+    except OSError as error:
+        reason = f"cannot be read: {error.strerror or error}"
+    except UnicodeDecodeError as error:
+        line, reason = error.object[: error.start].count(b"\n") + 1, "not UTF-8 text"
+    except tomllib.TOMLDecodeError as error:
+        position = ERROR_POSITION.search(str(error))
         end = text.count(b"\n") + 1
-        line = int(found[1]) if found and found[1] else end
-        reason = f"not TOML: {AT_LINE.sub('', str(fault))}"
+        line = int(position[1]) if position and position[1] else end
+        reason = f"not TOML: {ERROR_POSITION.sub('', str(error))}"
     except RecursionError:
         reason = "not TOML: nested too deep"
     raise RefusedError([LocatedFault(path, line, Fault((), reason))])
 
 
-def read(path: str) -> bytes:
+def read_limited(path: str) -> bytes:
     with open(path, "rb") as file:
-        text = file.read(MOST_BYTES + 1)
-    if len(text) > MOST_BYTES:
-        raise OSError(f"longer than {MOST_BYTES} bytes")
+        text = file.read(MAX_FILE_BYTES + 1)
+    if len(text) > MAX_FILE_BYTES:
+        raise OSError(f"longer than {MAX_FILE_BYTES} bytes")
     return text
 
 
-def put(told: dict[str, Any], override: Override) -> None:
-    """Set a value in what was read, through tables and arrays of tables."""
-    here: Any = told
-    *way, last = override.path
-    for part, following in zip(way, override.path[1:], strict=True):
+def apply_override(document: dict[str, Any], override: Override) -> None:
+    """Set a value in the parsed document, and create the tables and arrays of tables on the way to it."""
+    table: Any = document
+    *parents, last = override.path
+    for part, following in zip(parents, override.path[1:], strict=True):
         empty: Any = [] if isinstance(following, int) else {}
-        if isinstance(here, list):
-            while len(here) <= int(part):
-                here.append({})
-            here = here[int(part)]
-        elif isinstance(here, dict):
-            here = here.setdefault(str(part), empty)
-    if isinstance(here, dict):
-        here[str(last)] = override.value
+        if isinstance(table, list):
+            while len(table) <= int(part):
+                table.append({})
+            table = table[int(part)]
+        elif isinstance(table, dict):
+            table = table.setdefault(str(part), empty)
+    if isinstance(table, dict):
+        table[str(last)] = override.value
 
 
 def locate_faults(
-    path: str, text: bytes, found: list[Fault], overrides: list[Override]
+    path: str, text: bytes, faults: list[Fault], overrides: list[Override]
 ) -> list[LocatedFault]:
-    """In the order of the file. What came from outside it is named by that."""
-    from laureldock.setup.places import nearest_line, places  # see above
+    """Faults with their lines, sorted by line; those of overridden values have the origin instead."""
+    from laureldock.setup.places import (
+        line_numbers,
+        nearest_line,
+    )  # imported only to show lines, as in `origins`
 
-    lines = places(text)
+    lines = line_numbers(text)
     outside = {each.path: each.origin for each in overrides}
-    told = [
+    located = [
         LocatedFault(outside[fault.path], 0, fault)
         if fault.path in outside
         else LocatedFault(
             path, nearest_line(fault.path, lines), fault, nearest_line(fault.also, lines) if fault.also else 0
         )
-        for fault in found
+        for fault in faults
     ]
-    return sorted(told, key=lambda each: (each.file, each.line))
+    return sorted(located, key=lambda each: (each.file, each.line))
 
 
-def folders(plan: Plan, state: Path) -> Iterator[Fault]:
-    """What the machine itself must have. A folder that is not there yet is made at the start."""
-    place = state
-    while not place.exists() and place.parent != place:
-        place = place.parent
-    if not place.is_dir() or (state.exists() and not state.is_dir()):
-        yield Fault(("state",), f"{place} is no folder", "a folder, or a name where one can be made")
-    elif not os.access(place, os.W_OK | os.X_OK):
-        yield Fault(("state",), f"{place} cannot be written to", "a folder that this user may write to")
+def state_folder_faults(plan: Plan, state: Path) -> Iterator[Fault]:
+    """Faults of the state folder on this machine. A missing folder is created at startup."""
+    folder = state
+    while not folder.exists() and folder.parent != folder:
+        folder = folder.parent
+    if not folder.is_dir() or (state.exists() and not state.is_dir()):
+        yield Fault(("state",), f"{folder} is no folder", "a folder, or a name where one can be made")
+    elif not os.access(folder, os.W_OK | os.X_OK):
+        yield Fault(("state",), f"{folder} cannot be written to", "a folder that this user may write to")
 
 
-# Every fault of form. The quick way above stops at the first; this one walks the same types.
+# Faults of form. `msgspec.convert` in `load` stops at the first one; these functions walk the same types and
+# report all of them.
 
 
-def stripped(kind: Any) -> Any:
-    """A type without its annotations and without None."""
+def bare_type(kind: Any) -> Any:
+    """The type without annotations and without None."""
     while get_origin(kind) is Annotated:
         kind = get_args(kind)[0]
     if get_origin(kind) in (Union, types.UnionType):
         some = [each for each in get_args(kind) if each is not type(None)]
         if len(some) == 1:
-            return stripped(some[0])
+            return bare_type(some[0])
     return kind
 
 
@@ -169,59 +173,63 @@
     return isinstance(kind, type) and issubclass(kind, Struct)
 
 
-def walk(told: Any, kind: Any, path: Place) -> Iterator[Fault]:
-    bare = stripped(kind)
+def form_faults(given: Any, kind: Any, path: KeyPath) -> Iterator[Fault]:
+    bare = bare_type(kind)
     if is_table(bare):
-        yield from table(told, bare, path)
-    elif get_origin(bare) is dict and is_table(stripped(get_args(bare)[1])):
-        if not isinstance(told, dict):
-            yield Fault(path, f"must be tables by name, not {shown(told)}", f"[{path[-1]}.NAME]")
+        yield from table_faults(given, bare, path)
+    elif get_origin(bare) is dict and is_table(bare_type(get_args(bare)[1])):
+        if not isinstance(given, dict):
+            yield Fault(path, f"must be tables by name, not {abbreviated(given)}", f"[{path[-1]}.NAME]")
             return
         names, inner = get_args(bare)
-        for name, value in told.items():
-            yield from leaf(name, names, (*path, name), "this name ")
-            yield from walk(value, inner, (*path, name))
-    elif get_origin(bare) is list and is_table(stripped(get_args(bare)[0])):
-        if not isinstance(told, list):
-            yield Fault(path, f"must be an array of tables, not {shown(told)}", f"[[{path[-1]}]]")
+        for name, value in given.items():
+            yield from value_faults(name, names, (*path, name), "this name ")
+            yield from form_faults(value, inner, (*path, name))
+    elif get_origin(bare) is list and is_table(bare_type(get_args(bare)[0])):
+        if not isinstance(given, list):
+            yield Fault(path, f"must be an array of tables, not {abbreviated(given)}", f"[[{path[-1]}]]")
             return
-        for place, value in enumerate(told):
-            yield from walk(value, get_args(bare)[0], (*path, place))
+        for index, value in enumerate(given):
+            yield from form_faults(value, get_args(bare)[0], (*path, index))
     else:
-        yield from leaf(told, kind, path)
+        yield from value_faults(given, kind, path)
 
 
-def table(told: Any, kind: type[Struct], path: Place) -> Iterator[Fault]:
-    if not isinstance(told, dict):
-        yield Fault(path, f"must be a table, not {shown(told)}")
+def table_faults(given: Any, kind: type[Struct], path: KeyPath) -> Iterator[Fault]:
+    if not isinstance(given, dict):
+        yield Fault(path, f"must be a table, not {abbreviated(given)}")
         return
     fields = {each.encode_name: each for each in msgspec.structs.fields(kind)}
-    for name, value in told.items():
+    for name, value in given.items():
         if name in fields:
-            yield from walk(value, fields[name].type, (*path, name))
+            yield from form_faults(value, fields[name].type, (*path, name))
         else:
             near = get_close_matches(name, fields, 1)
             reason = "unknown setting" + (f"; {near[0]!r} is meant?" if near else "")
             yield Fault((*path, name), reason, ", ".join(fields))
     for name, each in fields.items():
-        if each.required and name not in told:
-            yield Fault((*path, name), "is missing", allowed(each.type))
+        if each.required and name not in given:
+            yield Fault((*path, name), "is missing", allowed_values(each.type))
 
 
-def leaf(told: Any, kind: Any, path: Place, what: str = "") -> Iterator[Fault]:
+def value_faults(given: Any, kind: Any, path: KeyPath, what: str = "") -> Iterator[Fault]:
     try:
-        msgspec.convert(told, kind, dec_hook=decode)
-    except ValidationError as fault:
-        reason = str(fault).partition(" - at `$")[0]
-        yield Fault(path, what + reason[:1].lower() + reason[1:] + f" (it is {shown(told)})", allowed(kind))
+        msgspec.convert(given, kind, dec_hook=decode)
+    except ValidationError as error:
+        reason = str(error).partition(" - at `$")[0]
+        yield Fault(
+            path,
+            what + reason[:1].lower() + reason[1:] + f" (it is {abbreviated(given)})",
+            allowed_values(kind),
+        )
 
 
-def allowed(kind: Any) -> str:
-    """What a value may be, out of its JSON Schema."""
+def allowed_values(kind: Any) -> str:
+    """Allowed values of a type in words, taken from its JSON Schema."""
     from laureldock.setup.units import schema
 
-    told = msgspec.json.schema(kind, schema_hook=schema)
-    for each in told.get("anyOf", [told]):
+    described = msgspec.json.schema(kind, schema_hook=schema)
+    for each in described.get("anyOf", [described]):
         if "enum" in each:
             return ", ".join(repr(one) for one in each["enum"])
         if "examples" in each:
@@ -244,10 +252,12 @@
     return ""
 
 
-def shown(told: Any) -> str:
-    text = repr(told)
+def abbreviated(given: Any) -> str:
+    text = repr(given)
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def overrides_of(told: Mapping[str, Any], origin: str) -> list[Override]:
-    return [Override(OVERRIDES[name], value, origin) for name, value in told.items() if value is not None]
+def overrides_of(given: Mapping[str, Any], origin: str) -> list[Override]:
+    return [
+        Override(OVERRIDE_PATHS[name], value, origin) for name, value in given.items() if value is not None
+    ]
--- a/laureldock/setup/reload.py
+++ b/laureldock/setup/reload.py
@@ -1,62 +1,69 @@
-"""What of a plan may change while a dispatcher runs."""
+"""Which settings of a plan may change while a dispatcher runs."""
 
 from __future__ import annotations
 
 from laureldock.setup.plan import SETTINGS, Plan, Table
 
-# Whole tables that may change; of the rest only settings of `SETTINGS`. A class's own figures may not: mails
-# that wait were taken on under them, and the store knows them by its name.
-FREE = {"endpoints", "terms", "log", "destinations", "customers"}
-ADDRESSES = ("source", "outlet")
-FREE_PARTS = {"fleet.seeds"}
-NAMES = {"classes": "class", "kinds": "kind", "destinations": "destination", "endpoints": "endpoint"}
+# Tables that may change as a whole; in the others only `SETTINGS` may. A queue class's own settings may not:
+# pending messages were accepted under them, and the store records only the name of the class.
+RELOADABLE_TABLES = {"endpoints", "terms", "log", "destinations", "customers"}
+ADAPTER_TABLES = ("source", "outlet")  # their addresses may change
+RELOADABLE_SETTINGS = {"fleet.seeds"}
+FILE_NAMES = {"classes": "class", "kinds": "kind", "destinations": "destination", "endpoints": "endpoint"}
 
 
-def bare(table: Table) -> dict[str, object]:
-    """A table without the settings that may change."""
+def fixed_settings(table: Table) -> dict[str, object]:
+    """The values of a table without the settings that may change."""
     return {name: getattr(table, name) for name in table.__struct_fields__ if name not in SETTINGS}
 
 
-def parts(plan: Plan) -> dict[str, object]:
-    """What may not change, by the name that a person would give it."""
+def fixed_values(plan: Plan) -> dict[str, object]:
+    """The values that may not change, by their names in the file."""
     found: dict[str, object] = {}
     for field in plan.__struct_fields__:
         value = getattr(plan, field)
-        name = NAMES.get(field, field)
-        if field in FREE:
+        name = FILE_NAMES.get(field, field)
+        if field in RELOADABLE_TABLES:
             continue
         if field in ("classes", "kinds"):
             for key, table in value.items():
-                found |= {f"{name}.{key}.{part}": each for part, each in bare(table).items()}
-        elif field in ADDRESSES:
+                found |= {f"{name}.{key}.{setting}": each for setting, each in fixed_settings(table).items()}
+        elif field in ADAPTER_TABLES:
             found[f"{name}.kind"] = value.kind
             if field == "outlet":
                 found["outlet.path"] = value.path
             else:
                 found["source.controllers"] = value.controllers
         elif isinstance(value, Table):
-            found |= {f"{name}.{part}": getattr(value, part) for part in value.__struct_fields__}
+            found |= {f"{name}.{setting}": getattr(value, setting) for setting in value.__struct_fields__}
         else:
             found[name] = value
-    found = {name: value for name, value in found.items() if name not in FREE_PARTS}
+    found = {name: value for name, value in found.items() if name not in RELOADABLE_SETTINGS}
     found |= {f"destination.{key}.kind": table.kind for key, table in plan.destinations.items() if table.kind}
     return found
 
 
-def refused(old: Plan, new: Plan) -> list[str]:
-    """The names of what differs and may not."""
-    before, after = parts(old), parts(new)
-    listed = {each.destination for each in old.endpoints} & {each.destination for each in new.endpoints}
-    fresh = {f"destination.{name}.kind" for name in {**old.destinations, **new.destinations}} - {
-        f"destination.{name}.kind" for name in listed
+def forbidden_changes(old: Plan, new: Plan) -> list[str]:
+    """Names of settings that differ and may not change.
+
+    The kind of a destination may change unless it has endpoints both before and after.
+    """
+    before, after = fixed_values(old), fixed_values(new)
+    listed_in_both = {each.destination for each in old.endpoints} & {
+        each.destination for each in new.endpoints
+    }
+    free_kinds = {f"destination.{name}.kind" for name in {**old.destinations, **new.destinations}} - {
+        f"destination.{name}.kind" for name in listed_in_both
     }
     return sorted(
-        name for name in {**before, **after} if before.get(name) != after.get(name) and name not in fresh
+        name for name in {**before, **after} if before.get(name) != after.get(name) and name not in free_kinds
     )
 
 
-def changes(old: Plan, new: Plan) -> list[str]:
-    """The tables that differ."""
+def changed_tables(old: Plan, new: Plan) -> list[str]:
+    """Names of the tables that differ."""
     return [
-        NAMES.get(name, name) for name in old.__struct_fields__ if getattr(old, name) != getattr(new, name)
+        FILE_NAMES.get(name, name)
+        for name in old.__struct_fields__
+        if getattr(old, name) != getattr(new, name)
     ]
--- a/laureldock/setup/rules.py
+++ b/laureldock/setup/rules.py
@@ -1,6 +1,7 @@
-"""A plan held against the rules: what would break one of the six is refused before it is run. No I/O.
+"""Checks a plan: settings that would break one of the six delivery rules are refused before it runs. No I/O.
 
-The figures of the rules are the account's own; a platform that tells its limits is held to those instead.
+The default bounds are those by which the rehearsal judges the rules. A platform that states its limits gives
+the bounds itself.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 from laureldock.setup.entries import as_list, index_terms, kind_of, name_of, scopes_of
 from laureldock.setup.faults import Fault, Path
 from laureldock.setup.plan import SETTINGS, Destination, Endpoint, Entry, Plan, QueueClass
-from laureldock.setup.terms import Scope, Set, TermsIndex
+from laureldock.setup.terms import Scope, SetValue, TermsIndex
 from laureldock.setup.units import encode
 
-# Two: a second copy hedges against a slow receiver; more only load one that is.
+# A hedged attempt helps against one slow call; more copies would only add load to a slow receiver.
 MAX_COPIES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the rules allow at most, or want at least."""
+    """Limits that the rules set: upper ones, and for `key_rest` a lower one."""
 
     connects: int = 8
     copies: bool = True
@@ -32,17 +33,25 @@
 
 
 def window_cap(slots: int) -> int:
-    """Under three quarters of the slots: the design's figure for a destination."""
+    """Largest window of a destination: fewer than three quarters of the slots, as the design demands."""
     return max(1, -(-slots * 3 // 4) - 1)
 
 
 def check(plan: Plan, bounds: Bounds) -> list[Fault]:
-    """Every fault of a plan that is whole in form."""
-    book, faults = index_terms(plan)
-    for part in (machine, peers, limits, classes, names, endpoints, fleet):
+    """All faults of a plan whose form is valid."""
+    terms_index, faults = index_terms(plan)
+    for part in (
+        machine_faults,
+        adapter_faults,
+        limit_faults,
+        classes_faults,
+        name_faults,
+        endpoint_faults,
+        fleet_faults,
+    ):
         faults += part(plan, bounds)
-    cells = SettingsChecker(plan, bounds, book)
-    faults += cells.check()
+    checker = SettingsChecker(plan, bounds, terms_index)
+    faults += checker.check()
     return faults
 
 
@@ -51,74 +60,77 @@
         yield Fault(path, "must be more than nought")
 
 
-def machine(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
-    here = plan.limits
-    if here.disk < 64 << 10:
-        yield Fault(("limits", "disk"), f"{encode(here.disk)} holds no mail", "64KiB or more")
-    if here.slots > here.sockets // 2:
-        allowed = f"{here.sockets // 2}, half of limits.sockets, or fewer"
-        yield Fault(("limits", "slots"), f"{here.slots} calls out need more sockets", allowed)
+def machine_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
+    limits = plan.limits
+    if limits.disk < 64 << 10:
+        yield Fault(("limits", "disk"), f"{encode(limits.disk)} holds no mail", "64KiB or more")
+    if limits.slots > limits.sockets // 2:
+        allowed = f"{limits.sockets // 2}, half of limits.sockets, or fewer"
+        yield Fault(("limits", "slots"), f"{limits.slots} calls out need more sockets", allowed)
 
 
-def limits(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
-    here = plan.limits
-    yield from require_positive(("limits", "connect_time"), here.connect_time)
-    if here.connects > bounds.connects:
+def limit_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
+    limits = plan.limits
+    yield from require_positive(("limits", "connect_time"), limits.connect_time)
+    if limits.connects > bounds.connects:
         path, allowed = ("limits", "connects"), f"{bounds.connects} or fewer"
-        yield Fault(path, f"{here.connects} connects for a mail are more than the rules allow", allowed)
-    if here.copies and not bounds.copies:
+        yield Fault(path, f"{limits.connects} connects for a mail are more than the rules allow", allowed)
+    if limits.copies and not bounds.copies:
         yield Fault(("limits", "copies"), "two connects of a mail out at once are barred here", "false")
-    if here.key_rest < bounds.key_rest:
+    if limits.key_rest < bounds.key_rest:
         reason = (
-            f"a key rests for {encode(here.key_rest)}, and a connect that may still run could be overtaken"
+            f"a key rests for {encode(limits.key_rest)}, and a connect that may still run could be overtaken"
         )
         yield Fault(("limits", "key_rest"), reason, f"{bounds.key_rest:g}s or more")
-    if here.drain_grace > bounds.drain_grace:
+    if limits.drain_grace > bounds.drain_grace:
         path, allowed = ("limits", "drain_grace"), f"{bounds.drain_grace:g}s or less"
         yield Fault(path, "new work would go to an endpoint long after it drains", allowed)
-    if here.idle_time <= here.connect_time:
-        path, allowed = ("limits", "idle_time"), f"more than limits.connect_time, {encode(here.connect_time)}"
+    if limits.idle_time <= limits.connect_time:
+        path, allowed = (
+            ("limits", "idle_time"),
+            f"more than limits.connect_time, {encode(limits.connect_time)}",
+        )
         yield Fault(path, "no kept connection could be used", allowed)
     for name in ("fall_time", "warm_time"):
         yield from require_positive(("returning", name), getattr(plan.returning, name))
 
 
-def peers(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
+def adapter_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
     if not plan.front and not plan.controller:
-        yield Fault(("front",), "no front: nobody could hand a mail in", "one [[front]] or more")
+        yield Fault(("front",), "no front: clients have no address to connect to", "one [[front]] or more")
     seen: dict[str, int] = {}
-    for place, front in enumerate(plan.front):
+    for index, front in enumerate(plan.front):
         if front.listen in seen:
             also = ("front", seen[front.listen], "listen")
-            yield Fault(("front", place, "listen"), f"two fronts listen at {front.listen}", "", also)
-        seen.setdefault(front.listen, place)
-    for name, peer in (("source", plan.source), ("outlet", plan.outlet)):
-        if peer.kind == "platform" and peer.address is None:
+            yield Fault(("front", index, "listen"), f"two fronts listen at {front.listen}", "", also)
+        seen.setdefault(front.listen, index)
+    for name, adapter in (("source", plan.source), ("outlet", plan.outlet)):
+        if adapter.kind == "platform" and adapter.address is None:
             yield Fault((name, "address"), "the platform's address is missing", "a host and a port")
-        if peer.kind != "platform" and peer.address is not None:
+        if adapter.kind != "platform" and adapter.address is not None:
             yield Fault((name, "address"), f"only a {name} of kind 'platform' has an address")
     if plan.outlet.kind == "lines" and not plan.outlet.path:
         yield Fault(("outlet", "path"), "the file of the lines is missing", "a path")
     if plan.outlet.kind != "lines" and plan.outlet.path:
         yield Fault(("outlet", "path"), "only an outlet of kind 'lines' has a path")
-    yield from list_source(plan)
+    yield from source_faults(plan)
 
 
-def list_source(plan: Plan) -> Iterator[Fault]:
-    """Where the list comes from, and with it all entries."""
+def source_faults(plan: Plan) -> Iterator[Fault]:
+    """Faults of the source of the endpoint list, and of the entry tables that depend on it."""
     source = plan.source
     if source.kind == "controller" and not source.controllers:
         yield Fault(("source", "controllers"), "no controller is named", "one host and port, or several")
     if source.kind != "controller" and source.controllers:
-        yield Fault(("source", "controllers"), "only a source of kind 'controller' has them")
+        yield Fault(("source", "controllers"), "only a source of kind 'controller' has controllers")
     if plan.controller and source.kind != "file":
-        reason = "a controller follows nobody: its entries come by changes"
+        reason = "a controller has no source: its entries come from changes"
         yield Fault(("source", "kind"), reason, "no [source] beside [controller]")
     if plan.controller or source.kind == "controller":
         for name, entries in entry_tables(plan).items():
             if entries:
                 allowed = "none in this file: `laureldock config apply` puts them"
-                yield Fault((name,), "entries come by a controller's changes", allowed)
+                yield Fault((name,), "entries come from a controller's changes", allowed)
     elif source.kind == "file" and not plan.endpoints:
         yield Fault(("endpoint",), "no endpoint is listed", "one [[endpoint]] or more, or another source")
     elif source.kind == "platform" and plan.endpoints:
@@ -128,7 +140,7 @@
 
 
 def entry_tables(plan: Plan) -> dict[str, Collection[object]]:
-    """The tables of which a controller's changes are made, classes aside."""
+    """The tables that a controller's changes replace, apart from queue classes."""
     return {
         "endpoint": plan.endpoints,
         "destination": plan.destinations,
@@ -145,31 +157,31 @@
     return True
 
 
-def fleet(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
-    here = plan.fleet
-    if here is None:
+def fleet_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
+    fleet = plan.fleet
+    if fleet is None:
         return
-    for name, told in (("listen", here.listen), ("advertise", here.advertise)):
-        if told is not None and not is_ip(told.rpartition(":")[0]):
-            reason = f"{told} is no IP address and port: names are looked up for seeds alone"
+    for name, given in (("listen", fleet.listen), ("advertise", fleet.advertise)):
+        if given is not None and not is_ip(given.rpartition(":")[0]):
+            reason = f"{given} is no IP address and port: names are looked up for seeds alone"
             yield Fault(("fleet", name), reason, "as '10.0.0.1:7946'")
-    host = here.listen.rpartition(":")[0]
-    if host in ("0.0.0.0", "[::]", "::") and here.advertise is None:
-        yield Fault(("fleet", "advertise"), f"nobody reaches {here.listen}", "an address others reach it at")
-    if not 0.05 <= here.period <= 60:
+    host = fleet.listen.rpartition(":")[0]
+    if host in ("0.0.0.0", "[::]", "::") and fleet.advertise is None:
+        yield Fault(("fleet", "advertise"), f"nobody reaches {fleet.listen}", "an address others reach it at")
+    if not 0.05 <= fleet.period <= 60:
         allowed = "50ms to 1min: shorter than a busy process can keep, or too long to be of use"
-        yield Fault(("fleet", "period"), f"{encode(here.period)} between probes", allowed)
-    if here.forget < 100 * here.period:
+        yield Fault(("fleet", "period"), f"{encode(fleet.period)} between probes", allowed)
+    if fleet.forget < 100 * fleet.period:
         reason = "one that failed would be forgotten before a cut is over"
         yield Fault(("fleet", "forget"), reason, "100 periods or more")
-    for place, front in enumerate(plan.front):
-        if front.listen == here.listen:
+    for index, front in enumerate(plan.front):
+        if front.listen == fleet.listen:
             yield Fault(
-                ("fleet", "listen"), "a front listens there", "another number", ("front", place, "listen")
+                ("fleet", "listen"), "a front listens there", "another number", ("front", index, "listen")
             )
 
 
-def classes(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
+def classes_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
     if not plan.classes:
         yield Fault(("class",), "no queue class: no mail could be taken", "one [class.NAME] or more")
     for name, each in plan.classes.items():
@@ -182,11 +194,11 @@
     if each.target_delay > each.lifetime:
         allowed = f"{encode(each.lifetime)}, its lifetime, or less"
         yield Fault((*at, "target_delay"), "a mail would be over before it is late", allowed)
-    yield from effects(each, at)
+    yield from repeat_safety_faults(each, at)
 
 
-def effects(each: QueueClass, at: Path) -> Iterator[Fault]:
-    """No effect happens twice."""
+def repeat_safety_faults(each: QueueClass, at: Path) -> Iterator[Fault]:
+    """Faults by which a message that is not redeliverable could take effect twice."""
     if each.effect == "once-only" and each.resend == "any":
         reason = "a once-only mail that may have run would be sent again"
         yield Fault((*at, "resend"), reason, "'proven' or 'never'")
@@ -205,9 +217,12 @@
         yield Fault((*at, "connects"), "resend is 'never'", "1", (*at, "resend"))
 
 
-def unknown(path: Path, what: str, name: str, known: Collection[str], search: float = inf) -> Fault:
-    """`search`: of how many known names at most the nearest is looked for, which takes time."""
-    if len(known) > search:
+def unknown(path: Path, what: str, name: str, known: Collection[str], search_limit: float = inf) -> Fault:
+    """Fault of an unknown name.
+
+    With more than `search_limit` known names the closest match is not searched for, since that takes time.
+    """
+    if len(known) > search_limit:
         return Fault(path, f"unknown {what} {name!r}", f"one of the {len(known)} that are listed")
     near = get_close_matches(name, known, 1)
     some = ", ".join(sorted(known)[:8]) + (", ..." if len(known) > 8 else "")
@@ -216,18 +231,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """Names that entries may use."""
+class KnownNames:
+    """Names that entries may refer to."""
 
     classes: Collection[str]
     kinds: Collection[str]
     destinations: Collection[str]
     routes: Collection[str]
-    listed: bool = True  # else the list of destinations and routes may have more than is known now
-    search: float = inf  # see `unknown`
+    list_complete: bool = True  # if not, more destinations and routes may be listed later
+    search_limit: float = inf  # see `unknown`
 
     def unknown(self, path: Path, field: str, name: str) -> Iterator[Fault]:
-        """Of a field of [[terms]], or of a destination's kind."""
+        """Fault of a selector of [[terms]] or of a destination's kind, if its name is unknown."""
         what, known = {
             "class": ("queue class", self.classes),
             "kind": ("kind", self.kinds),
@@ -235,12 +250,12 @@
             "route": ("route", self.routes),
         }[field]
         of_list = field in ("destination", "route")
-        if name not in known and (self.listed or not of_list):
-            yield unknown(path, what, name, known, self.search)
+        if name not in known and (self.list_complete or not of_list):
+            yield unknown(path, what, name, known, self.search_limit)
 
 
-def names(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
-    known = Known(
+def name_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
+    known = KnownNames(
         plan.classes,
         plan.kinds,
         {each.destination: None for each in plan.endpoints},
@@ -250,28 +265,28 @@
     for name, destination in plan.destinations.items():
         at: Path = ("destination", name)
         yield from destination_faults(destination, at, known)
-        if plan.endpoints:  # else one fault says it for all
+        if plan.endpoints:  # without endpoints, `source_faults` reports one fault instead
             yield from known.unknown(at, "destination", name)
-    for place, entry in enumerate(plan.terms):
-        yield from terms_faults(entry, ("terms", place), known)
+    for index, entry in enumerate(plan.terms):
+        yield from terms_faults(entry, ("terms", index), known)
 
 
-def destination_faults(destination: Destination, at: Path, known: Known) -> Iterator[Fault]:
+def destination_faults(destination: Destination, at: Path, known: KnownNames) -> Iterator[Fault]:
     if destination.kind is not None:
         yield from known.unknown((*at, "kind"), "kind", destination.kind)
 
 
-def terms_faults(entry: Entry, at: Path, known: Known) -> Iterator[Fault]:
+def terms_faults(entry: Entry, at: Path, known: KnownNames) -> Iterator[Fault]:
     selected = {
         "class": entry.queue_class,
         "kind": entry.kind,
         "destination": entry.destination,
         "route": entry.route,
     }
-    for field, told in selected.items():
-        for name in as_list(told) if told is not None else ():
+    for field, given in selected.items():
+        for name in as_list(given) if given is not None else ():
             yield from known.unknown((*at, field), field, name)
-        if isinstance(told, list) and not told:
+        if isinstance(given, list) and not given:
             yield Fault((*at, field), "names nothing", "a name, or several")
     if sum(selected[field] is not None for field in ("kind", "destination", "route")) > 1:
         yield Fault(at, "names two places", "one of kind, destination, route")
@@ -284,35 +299,35 @@
     return Fault((*at, "address"), reason, "", also)
 
 
-def endpoints(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
+def endpoint_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
     by_name: dict[str, int] = {}
-    by_place: dict[tuple[str, str], int] = {}
-    for place, each in enumerate(plan.endpoints):
-        at: Path = ("endpoint", place)
+    by_address: dict[tuple[str, str], int] = {}
+    for index, each in enumerate(plan.endpoints):
+        at: Path = ("endpoint", index)
         name, key = name_of(each), (each.destination, str(each.address))
-        if key in by_place:
-            also = ("endpoint", by_place[key])
+        if key in by_address:
+            also = ("endpoint", by_address[key])
             yield duplicate_endpoint(each, at, also)
         elif name in by_name:
             also = ("endpoint", by_name[name])
             yield Fault((*at, "name"), f"two endpoints are named {name!r}", "a name of its own", also)
-        by_name.setdefault(name, place)
-        by_place.setdefault(key, place)
+        by_name.setdefault(name, index)
+        by_address.setdefault(key, index)
 
 
 class SettingsChecker:
-    """What holds for each queue class at each destination, and at each route that any entry names."""
+    """Checks the settings in force for each queue class at each destination and route with settings."""
 
-    def __init__(self, plan: Plan, bounds: Bounds, book: TermsIndex) -> None:
-        self.plan, self.bounds, self.book = plan, bounds, book
-        self.told: set[tuple[Path, str]] = set()
+    def __init__(self, plan: Plan, bounds: Bounds, terms_index: TermsIndex) -> None:
+        self.plan, self.bounds, self.terms_index = plan, bounds, terms_index
+        self.reported: set[tuple[Path, str]] = set()
 
     def check(self) -> list[Fault]:
-        """At all places of the plan."""
-        if not self.book.settings:
+        """Faults at all destinations and routes of the plan."""
+        if not self.terms_index.settings:
             return []
         plan, faults = self.plan, []
-        named_routes = self.book.routes()
+        named_routes = self.terms_index.route_names()
         places = {(each.destination, ""): None for each in plan.endpoints}
         places |= {(name, ""): None for name in plan.destinations}
         places |= {
@@ -321,57 +336,64 @@
             if name_of(each) in named_routes
         }
         for destination, route in places or {("", ""): None}:
-            faults += self.at(scopes_of(kind_of(plan, destination), destination, route))
+            faults += self.check_scopes(scopes_of(kind_of(plan, destination), destination, route))
         return faults
 
-    def at(self, where: Sequence[Scope], classes: Iterable[str] | None = None) -> list[Fault]:
-        """What is new of one place: for these queue classes, or for all and what they share."""
+    def check_scopes(self, scopes: Sequence[Scope], classes: Iterable[str] | None = None) -> list[Fault]:
+        """Faults of one place that were not reported before.
+
+        They are checked for these queue classes, or for all of them and the window that they share.
+        """
         faults: list[Fault] = []
         known = self.plan.classes
         if classes is None:
-            faults += [fault for fault in self.window(where) if self.fresh(fault)]
+            faults += [fault for fault in self.window_faults(scopes) if self.is_new(fault)]
         for name in known if classes is None else (each for each in classes if each in known):
-            found = [*self.book.conflicts(name, where), *self.cell(name, where)]
-            faults += [fault for fault in found if self.fresh(fault)]
+            found = [*self.terms_index.conflicts(name, scopes), *self.settings_faults(name, scopes)]
+            faults += [fault for fault in found if self.is_new(fault)]
         return faults
 
-    def fresh(self, fault: Fault) -> bool:
-        """Whether it was not told of the same place before."""
+    def is_new(self, fault: Fault) -> bool:
+        """Whether the same path and reason were not reported before."""
         key = (fault.path, fault.reason)
-        new = key not in self.told
-        self.told.add(key)
+        new = key not in self.reported
+        self.reported.add(key)
         return new
 
-    def get(self, setting: str, name: str, where: Sequence[Scope]) -> Set | None:
-        found = self.book.most_specific(setting, name, where) if setting in self.book.settings else []
+    def get(self, setting: str, name: str, scopes: Sequence[Scope]) -> SetValue | None:
+        found = (
+            self.terms_index.most_specific(setting, name, scopes)
+            if setting in self.terms_index.settings
+            else []
+        )
         return found[0] if found else None
 
-    def window(self, where: Sequence[Scope]) -> Iterator[Fault]:
-        found, cap = self.get("window", "", where), window_cap(self.plan.limits.slots)
+    def window_faults(self, scopes: Sequence[Scope]) -> Iterator[Fault]:
+        found, cap = self.get("window", "", scopes), window_cap(self.plan.limits.slots)
         if found and found.value > cap:
             allowed = f"{cap}, under three quarters of limits.slots, or fewer"
             yield Fault(found.path, f"{found.value} calls in flight would crowd out all else", allowed)
 
-    def cell(self, name: str, where: Sequence[Scope]) -> Iterator[Fault]:
-        kind, here = self.plan.classes[name], self.plan.limits
+    def settings_faults(self, name: str, scopes: Sequence[Scope]) -> Iterator[Fault]:
+        kind, limits = self.plan.classes[name], self.plan.limits
         life = f"{encode(kind.lifetime)}, the lifetime of {name!r}, or less"
-        if found := self.get("time_out", name, where):
+        if found := self.get("time_out", name, scopes):
             yield from require_positive(found.path, found.value)
             if found.value > kind.lifetime:
                 yield Fault(found.path, f"a connect would outlast a mail of class {name!r}", life)
-        connects = self.get("connects", name, where)
-        if connects and connects.value > here.connects:
-            allowed = f"{here.connects}, limits.connects, or fewer"
+        connects = self.get("connects", name, scopes)
+        if connects and connects.value > limits.connects:
+            allowed = f"{limits.connects}, limits.connects, or fewer"
             yield Fault(connects.path, f"{connects.value} connects for a mail of class {name!r}", allowed)
-        if (found := self.get("retry_after", name, where)) and found.value > here.retry_after:
-            allowed = f"{encode(here.retry_after)}, limits.retry_after, or less"
+        if (found := self.get("retry_after", name, scopes)) and found.value > limits.retry_after:
+            allowed = f"{encode(limits.retry_after)}, limits.retry_after, or less"
             yield Fault(found.path, "clients do not heed so long a wait", allowed)
-        yield from self.copies(name, kind, where, connects)
+        yield from self.copies_faults(name, kind, scopes, connects)
 
-    def copies(
-        self, name: str, kind: QueueClass, where: Sequence[Scope], connects: Set | None
+    def copies_faults(
+        self, name: str, kind: QueueClass, scopes: Sequence[Scope], connects: SetValue | None
     ) -> Iterator[Fault]:
-        after = self.get("copy_after", name, where)
+        after = self.get("copy_after", name, scopes)
         if after:
             yield from require_positive(after.path, after.value)
             if after.value >= kind.lifetime:
@@ -380,7 +402,7 @@
             if kind.memory is not None and after.value >= kind.memory:
                 reason, allowed = "its tag is forgotten by then", f"less than {encode(kind.memory)}"
                 yield Fault(after.path, reason, allowed)
-        found = self.get("copies", name, where)
+        found = self.get("copies", name, scopes)
         if not found or found.value == 1:
             return
         if found.value > MAX_COPIES:
--- a/laureldock/setup/terms.py
+++ b/laureldock/setup/terms.py
@@ -1,9 +1,9 @@
-"""Which of the operators' settings holds for a mail at a destination, and for a route: no I/O, no chance.
+"""Which of the operators' settings is in force for a message at a destination, or for a route. No I/O.
 
-An entry names a queue class or none, and a place or none: a kind, a destination or a route, each narrower
-than the one before. One entry beats another if it is at least as narrow in both and narrower in one. Of those
-that fit and that no other beats, all must agree; two that do not are a fault, which an entry naming both
-settles.
+An entry may name a queue class, and a scope: a kind, a destination or a route, each narrower than the one
+before. One entry overrides another if it is at least as narrow in both and narrower in one. The matching
+entries that no other overrides must have the same value; otherwise it is a fault, which an entry that names
+both resolves.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Level(IntEnum):
-    """How narrow a place is."""
+    """How narrow a scope is."""
 
     ANY = 0
     KIND = 1
@@ -26,12 +26,13 @@
     ROUTE = 3
 
 
-# A place as it is looked up: how narrow, and its name.
+# Where a setting applies: the level, and the name of the kind, destination or route.
 Scope = tuple[Level, str]
 EVERYWHERE: Scope = (Level.ANY, "")
 
-# Where each setting may stand: with a queue class named or not, and up to which place. A window is shared by
-# all classes; what counts for a mail before its route is drawn cannot depend on the route.
+# Scopes allowed for each setting: whether it may name a queue class, the widest level, the narrowest level.
+# A window is shared by all queue classes. A setting that is needed before the route of a message is chosen
+# cannot depend on the route.
 ALLOWED_SCOPES: dict[str, tuple[bool, Level, Level]] = {
     "time_out": (True, Level.ANY, Level.ROUTE),
     "connects": (True, Level.ANY, Level.DESTINATION),
@@ -43,62 +44,62 @@
 }
 
 
-# What is set at one place: of each setting and queue class, the values.
+# All that is set for one scope: settings, their queue classes, and their values.
 OwnSettings = tuple[tuple[str, str, tuple[Any, ...]], ...]
 
 Counted = TypeVar("Counted")
 
 
 def decrement(counts: Counter[Counted], item: Counted, times: int) -> None:
-    """Count it down, and leave no nought behind."""
+    """Subtract from a count, and remove it when it is zero."""
     counts[item] -= times
     if not counts[item]:
         del counts[item]
 
 
 @dataclass(frozen=True, slots=True)
-class Set:
-    """One setting of one entry."""
+class SetValue:
+    """The value of one setting of one entry."""
 
     value: Any
     path: Path = field(compare=False)
     names_class: bool
     level: Level
 
-    def overrides(self, other: Set) -> bool:
-        wider = other.names_class <= self.names_class and other.level <= self.level
-        return wider and (self.names_class, self.level) != (other.names_class, other.level)
+    def overrides(self, other: SetValue) -> bool:
+        as_narrow = other.names_class <= self.names_class and other.level <= self.level
+        return as_narrow and (self.names_class, self.level) != (other.names_class, other.level)
 
 
 @dataclass(slots=True)
 class TermsIndex:
-    """All entries, by setting and by what they name."""
+    """The settings of all entries, by setting, queue class and scope."""
 
-    entries: dict[tuple[str, str, Scope], list[Set]] = field(default_factory=dict)
+    entries: dict[tuple[str, str, Scope], list[SetValue]] = field(default_factory=dict)
     settings: Counter[str] = field(
         default_factory=Counter
-    )  # how often each is set; those never set are not in it
-    # Likewise, by place: each setting with the queue class that it is set for.
+    )  # how often each setting is set; without those never set
+    # How often each setting is set for each queue class, by scope.
     scopes: dict[Scope, Counter[tuple[str, str]]] = field(default_factory=dict)
 
     def add(self, setting: str, value: Any, path: Path, queue_class: str, scope: Scope) -> Fault | None:
-        """Enter it, or say why it cannot stand there."""
-        classes, least, most = ALLOWED_SCOPES[setting]
-        if (queue_class and not classes) or not least <= scope[0] <= most:
-            names = [level.name.lower() for level in Level if least <= level <= most and level]
+        """Add a setting; returns a fault if it is not allowed in that scope."""
+        by_class, widest, narrowest = ALLOWED_SCOPES[setting]
+        if (queue_class and not by_class) or not widest <= scope[0] <= narrowest:
+            names = [level.name.lower() for level in Level if widest <= level <= narrowest and level]
             reason = f"{setting} cannot be set for " + (
-                "a queue class" if queue_class and not classes else f"a {scope[0].name.lower()}" if scope[0]
+                "a queue class" if queue_class and not by_class else f"a {scope[0].name.lower()}" if scope[0]
                 else "all alike"
             )  # fmt: skip
-            return Fault(path, reason, "at a " + ", a ".join((["queue class"] if classes else []) + names))
+            return Fault(path, reason, "at a " + ", a ".join((["queue class"] if by_class else []) + names))
         found = self.entries.setdefault((setting, queue_class, scope), [])
-        found.append(Set(value, path, bool(queue_class), scope[0]))
+        found.append(SetValue(value, path, bool(queue_class), scope[0]))
         self.settings[setting] += 1
         self.scopes.setdefault(scope, Counter())[setting, queue_class] += 1
         return None
 
     def remove(self, setting: str, path: Path, queue_class: str, scope: Scope) -> None:
-        """Take out what was added by that path, if it was."""
+        """Remove the settings that were added with that path, if any."""
         found = self.entries.get((setting, queue_class, scope), [])
         kept = [each for each in found if each.path != path]
         removed = len(found) - len(kept)
@@ -113,8 +114,8 @@
         if not self.scopes[scope]:
             del self.scopes[scope]
 
-    def most_specific(self, setting: str, queue_class: str, scopes: Sequence[Scope]) -> list[Set]:
-        """Those that fit and that no other beats."""
+    def most_specific(self, setting: str, queue_class: str, scopes: Sequence[Scope]) -> list[SetValue]:
+        """The matching values that no other overrides."""
         fit = [
             each
             for name in {"": None, queue_class: None}
@@ -123,15 +124,15 @@
         ]
         return [each for each in fit if not any(other.overrides(each) for other in fit)]
 
-    def value(self, setting: str, queue_class: str, scopes: Sequence[Scope], otherwise: Any = None) -> Any:
-        """What holds there; `otherwise` if nothing was set."""
+    def value(self, setting: str, queue_class: str, scopes: Sequence[Scope], default: Any = None) -> Any:
+        """The value in force there; `default` if none is set."""
         if setting not in self.settings:
-            return otherwise
+            return default
         found = self.most_specific(setting, queue_class, scopes)
-        return found[0].value if found else otherwise
+        return found[0].value if found else default
 
     def conflicts(self, queue_class: str, scopes: Sequence[Scope]) -> Iterator[Fault]:
-        """Settings on which two entries disagree there, though neither beats the other."""
+        """Faults of settings with two different values there, of which neither overrides the other."""
         for setting in ALLOWED_SCOPES:
             if setting in self.settings:
                 found = self.most_specific(setting, queue_class, scopes)
@@ -142,7 +143,7 @@
                         yield Fault(other.path, reason, allowed, found[0].path)
 
     def own_settings(self, scope: Scope) -> OwnSettings:
-        """Places of one level that have the same here differ in nothing but their names."""
+        """The settings of this scope. Scopes of one level with equal results differ only in their names."""
         found = self.scopes.get(scope)
         if not found:
             return ()
@@ -155,6 +156,6 @@
             for setting, queue_class in sorted(found)
         )
 
-    def routes(self) -> set[str]:
-        """Names of routes that any entry names."""
+    def route_names(self) -> set[str]:
+        """Names of the routes that an entry names."""
         return {name for level, name in self.scopes if level is Level.ROUTE}
--- a/laureldock/setup/units.py
+++ b/laureldock/setup/units.py
@@ -1,4 +1,4 @@
-"""Durations, sizes and addresses as operators write them."""
+"""Durations, sizes and addresses: parsing and printing of the text that operators write."""
 
 from __future__ import annotations
 
@@ -7,70 +7,70 @@
 from math import isfinite
 from typing import Any
 
-TIMES = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0}
-SIZES = {"B": 1, "kB": 1000, "KiB": 1024, "MB": 10**6, "MiB": 1 << 20, "GB": 10**9, "GiB": 1 << 30}
-WRITTEN = re.compile(r"(\d+(?:\.\d+)?) ?([A-Za-z]+)")
+TIME_UNITS = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0}
+SIZE_UNITS = {"B": 1, "kB": 1000, "KiB": 1024, "MB": 10**6, "MiB": 1 << 20, "GB": 10**9, "GiB": 1 << 30}
+QUANTITY = re.compile(r"(\d+(?:\.\d+)?) ?([A-Za-z]+)")
 
 
 class Seconds(float):
-    """A duration; written as "1.5s"."""
+    """A duration in seconds, written with a unit: "1.5s"."""
 
 
 class Size(int):
-    """Bytes; written as "64KiB"."""
+    """A size in bytes, written with a unit: "64KiB"."""
 
 
 class Address(str):
-    """A host and a port; written as "127.0.0.1:6379"."""
+    """A host and a port: "127.0.0.1:6379"."""
 
 
-def measure(told: Any, units: dict[str, float] | dict[str, int], sample: str) -> float:
-    found = WRITTEN.fullmatch(told) if isinstance(told, str) else None
-    if found is None:
-        raise ValueError(f"must be text with a number and its unit, as {sample!r}, not {told!r}")
-    if found[2] not in units:
-        raise ValueError(f"unknown unit {found[2]!r}; one of {', '.join(units)}")
-    value = float(found[1]) * units[found[2]]
+def parse_quantity(given: Any, units: dict[str, float] | dict[str, int], example: str) -> float:
+    match = QUANTITY.fullmatch(given) if isinstance(given, str) else None
+    if match is None:
+        raise ValueError(f"must be text with a number and its unit, as {example!r}, not {given!r}")
+    if match[2] not in units:
+        raise ValueError(f"unknown unit {match[2]!r}; one of {', '.join(units)}")
+    value = float(match[1]) * units[match[2]]
     if not isfinite(value):
         raise ValueError("too large")
     return value
 
 
-def address(told: Any) -> Address:
-    """What was told as one, if it has a host and a port that can be; else ValueError."""
-    dial = str(told)
-    host, _, port = dial.rpartition(":")
+def parse_address(given: Any) -> Address:
+    """Parse a host and a port. Raises ValueError if there is no host or the port is not 1 to 65535."""
+    text = str(given)
+    host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"no address: {dial!r}; a host and a port, as '127.0.0.1:6379'")
-    return Address(dial)
+        raise ValueError(f"no address: {text!r}; a host and a port, as '127.0.0.1:6379'")
+    return Address(text)
 
 
-def decode(kind: type, told: Any) -> Any:
-    """msgspec's hook for the types of this file. ValueError."""
+def decode(kind: type, given: Any) -> Any:
+    """msgspec's decoding hook for the types of this module. Raises ValueError."""
     if kind is Seconds:
-        return Seconds(measure(told, TIMES, "1.5s"))
+        return Seconds(parse_quantity(given, TIME_UNITS, "1.5s"))
     if kind is Size:
-        return Size(measure(told, SIZES, "64KiB"))
+        return Size(parse_quantity(given, SIZE_UNITS, "64KiB"))
     if kind is Address:
-        if not isinstance(told, str):
-            raise ValueError(f"must be text, as '127.0.0.1:6379', not {told!r}")
-        return address(told)
+        if not isinstance(given, str):
+            raise ValueError(f"must be text, as '127.0.0.1:6379', not {given!r}")
+        return parse_address(given)
     raise NotImplementedError(kind)
 
 
 def encode(value: Any) -> Any:
-    """The other way, as short as it can be read back to the same value."""
+    """msgspec's encoding hook: the shortest text that `decode` reads back to the same value."""
     if isinstance(value, Seconds):
-        return shortest(value, TIMES)
+        return in_largest_unit(value, TIME_UNITS)
     if isinstance(value, Size):
-        return shortest(value, SIZES)
+        return in_largest_unit(value, SIZE_UNITS)
     if isinstance(value, Address):
         return str(value)
     raise NotImplementedError(type(value))
 
 
-def shortest(value: float, units: dict[str, float] | dict[str, int]) -> str:
-    """In the largest unit that it holds one of and that gives it back exactly."""
+def in_largest_unit(value: float, units: dict[str, float] | dict[str, int]) -> str:
+    """Text in the largest unit that is not larger than the value and reads back to it exactly."""
     for unit, factor in sorted(units.items(), key=lambda each: -each[1]):
         text = f"{value / factor:.9f}".rstrip("0").rstrip(".")
         if value >= factor and float(text) * factor == value:
@@ -80,11 +80,19 @@
 
 
 def schema(kind: type) -> dict[str, Any]:
-    """JSON Schema of the types of this file."""
+    """msgspec's JSON Schema hook for the types of this module."""
     if kind is Seconds:
-        return {"type": "string", "pattern": rf"^\d+(\.\d+)? ?({'|'.join(TIMES)})$", "examples": ["1.5s"]}
+        return {
+            "type": "string",
+            "pattern": rf"^\d+(\.\d+)? ?({'|'.join(TIME_UNITS)})$",
+            "examples": ["1.5s"],
+        }
     if kind is Size:
-        return {"type": "string", "pattern": rf"^\d+(\.\d+)? ?({'|'.join(SIZES)})$", "examples": ["64KiB"]}
+        return {
+            "type": "string",
+            "pattern": rf"^\d+(\.\d+)? ?({'|'.join(SIZE_UNITS)})$",
+            "examples": ["64KiB"],
+        }
     if kind is Address:
         return {"type": "string", "pattern": r"^.+:\d{1,5}$", "examples": ["127.0.0.1:6379"]}
     raise NotImplementedError(kind)
--- a/laureldock/sources/platform.py
+++ b/laureldock/sources/platform.py
@@ -10,7 +10,7 @@
 from laureldock.core.ends import End
 from laureldock.core.seams import News
 from laureldock.interface import AskList, Listed
-from laureldock.setup.units import address
+from laureldock.setup.units import parse_address
 from laureldock.sockets.httpline import Asker, HttpLine
 from laureldock.tariff import Entry
 from laureldock.wire.http1 import Headers
@@ -29,7 +29,7 @@
         seq, whole, hosts = news["seq"], news["whole"], news["hosts"]
         if not isinstance(seq, int) or not isinstance(whole, bool):
             raise ValueError("its version or kind is missing")
-        return seq, whole, [(entry(host), address(host["dial"])) for host in hosts]
+        return seq, whole, [(entry(host), parse_address(host["dial"])) for host in hosts]
     except (KeyError, TypeError, AttributeError, OverflowError) as fault:
         raise ValueError(f"not a list of hosts: {fault!r}") from None
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -19,7 +19,7 @@
 from laureldock.setup.faults import RefusedError
 from laureldock.setup.plan import Plan
 from laureldock.setup.reading import Override, load, overrides_of
-from laureldock.setup.reload import refused
+from laureldock.setup.reload import forbidden_changes
 from laureldock.setup.units import Seconds, Size, decode, encode
 from laureldock.tariff import Book
 
@@ -313,7 +313,7 @@
     loaded = load(str(path))
     again.write_text(shown(loaded))
     assert load(str(again)).plan == loaded.plan
-    assert not refused(loaded.plan, load(str(again)).plan)
+    assert not forbidden_changes(loaded.plan, load(str(again)).plan)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -379,20 +379,20 @@
     free = BASE.replace("window = 4", "window = 5").replace("9002", "9003")
     free = free.replace('effect = "once-only"', 'effect = "once-only"\nimportance = 7.0')
     path.write_text('log = {level = "debug"}\n' + free + '[[terms]]\nclass = "news"\nconnects = 2\n')
-    assert refused(plan, load(str(path)).plan) == []
+    assert forbidden_changes(plan, load(str(path)).plan) == []
     path.write_text(BASE.replace("slots = 16", "slots = 17").replace('"10s"', '"11s"'))
-    assert refused(plan, load(str(path)).plan) == [
+    assert forbidden_changes(plan, load(str(path)).plan) == [
         "class.charge.lifetime", "class.news.lifetime", "class.order.lifetime", "limits.slots"
     ]  # fmt: skip
     table = '[fleet]\nname = "f"\nlisten = "127.0.0.1:7946"\nseeds = ["127.0.0.2:7946"]\n'
     path.write_text(BASE + table)
     plan = load(str(path)).plan
     path.write_text(BASE + table.replace("0.2", "0.3"))
-    assert refused(plan, load(str(path)).plan) == []
+    assert forbidden_changes(plan, load(str(path)).plan) == []
     path.write_text(BASE + table + 'period = "2s"\n')
-    assert refused(plan, load(str(path)).plan) == ["fleet.period"]
+    assert forbidden_changes(plan, load(str(path)).plan) == ["fleet.period"]
     path.write_text(BASE)
-    assert "fleet.name" in refused(plan, load(str(path)).plan)
+    assert "fleet.name" in forbidden_changes(plan, load(str(path)).plan)
 
 
 def test_the_example_file_is_the_documented_default() -> None:
@@ -419,7 +419,7 @@
     entries = BASE[ENTRIES:] + '[[terms]]\nclass = "news"\nconnects = 2\n[customer.x]\nquota = 1.0\n'
     found = faults(path, text + entries)
     for table in ("endpoint", "destination", "terms", "customer"):
-        assert any(f": {table}: entries come by a controller's changes" in fault for fault in found), found
+        assert any(f": {table}: entries come from a controller's changes" in fault for fault in found), found
 
 
 @pytest.mark.parametrize(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -603,7 +603,7 @@
     told["settings"]["limits"] = {**told["settings"]["limits"], "max_attempts": 2}
     config.write_text(json.dumps(told))
     quay.say("retold")
-    quay.assembly.retold(plan_from_platform(environ, again=True)[0])
+    quay.assembly.retold(plan_from_platform(environ, reload=True)[0])
     quay.put(client, "m2", "fresh")
     quay.put(client, "m3", "charge")
     quay.answer("1", "500 Internal Server Error")
@@ -626,5 +626,5 @@
     }.items():
         config.write_text(text)
         with pytest.raises(ValueError):
-            plan_from_platform(environ, again=True)
+            plan_from_platform(environ, reload=True)
             pytest.fail(fault)
