--- a/benchmarks/slopes/process.py
+++ b/benchmarks/slopes/process.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from laureldock.cli.info import figures
+from laureldock.cli.info import read_counters
 
 MOST_START = 300.0  # seconds that a start may take
 MOST_WAIT = 300.0  # seconds that a change or a load may take
@@ -142,7 +142,7 @@
         """Of those that INFO tells; asked again while a long step keeps it from answering."""
         for _ in range(MOST_ASKS):
             with contextlib.suppress(OSError, ValueError):
-                return int(figures(f"127.0.0.1:{self.port}").get(name, 0))
+                return int(read_counters(f"127.0.0.1:{self.port}").get(name, 0))
         raise RuntimeError("the dispatcher does not answer")
 
     def settle(self) -> float:
--- a/laureldock/__init__.py
+++ b/laureldock/__init__.py
@@ -1,3 +1,3 @@
-"""laureldock: a dispatcher of notifications to outside receivers."""
+"""laureldock, a dispatcher of notifications to external receivers."""
 
 __version__ = "0.2.0"
--- a/laureldock/cli/__init__.py
+++ b/laureldock/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: a file for each sub-command."""
+"""The command line; each sub-command is a module."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from laureldock import __version__
 
-# Each is imported when it is asked for: `serve` stays small.
+# Each command is imported on use, which keeps the memory of `serve` small.
 COMMANDS = ("serve", "controller", "config", "info", "spool", "fleet", "rehearse", "version")
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(COMMANDS)
 
@@ -23,15 +23,15 @@
         return command
 
 
-@click.command(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="laureldock")
 def main() -> None:
-    """Dispatches notifications ("mails") to outside receivers, and keeps its decisions good while they fail.
+    """Dispatch notifications ("messages") to external receivers, and keep delivery reliable while they fail.
 
     \b
-    Begin with:  laureldock config example > laureldock.toml
+    Start with:  laureldock config example > laureldock.toml
                  laureldock config check laureldock.toml
                  laureldock serve laureldock.toml
 
-    Exit codes: 0 done, 1 it ended on a fault, 2 wrong use or a refused configuration.
+    Exit codes: 0 success, 1 failure, 2 wrong usage or a refused configuration.
     """
--- a/laureldock/cli/config.py
+++ b/laureldock/cli/config.py
@@ -14,11 +14,11 @@
 from laureldock.setup.reading import LoadedPlan, load
 
 CONTROLLER_COMMANDS = ("apply", "status")  # of config_changes.py
-MOST_SHOWN = 200  # faults; a file that repeats one is shown the rest by number
+MAX_SHOWN = 200  # faults printed; of a file that repeats one fault, the rest are only counted
 
 
 class ConfigGroup(click.Group):
-    """Commands that talk to a controller are imported when they are asked for."""
+    """Imports the commands that talk to a controller on use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted([*super().list_commands(ctx), *CONTROLLER_COMMANDS])
@@ -35,20 +35,20 @@
     """Check, show and describe configuration files; propose changes to a controller."""
 
 
-def refuse(
-    refused: RefusedError, as_json: bool = False, most_shown: int = MOST_SHOWN, count: int = 0
+def exit_with_faults(
+    refused: RefusedError, as_json: bool = False, max_shown: int = MAX_SHOWN, count: int = 0
 ) -> None:
-    """Every fault on a line, and exit 2. `count`: of all, where not all were told."""
+    """Print the faults, one per line, and exit with 2. `count`: number of all faults, if more than given."""
     count = max(count, len(refused.faults))
     if as_json:
-        told = {"ok": False, "faults": [each.fields() for each in refused.faults]}
-        click.echo(json.dumps(told if count == len(refused.faults) else {**told, "count": count}))
+        result = {"ok": False, "faults": [each.fields() for each in refused.faults]}
+        click.echo(json.dumps(result if count == len(refused.faults) else {**result, "count": count}))
     else:
-        shown = refused.faults[:most_shown]
-        for fault in shown:
+        printed = refused.faults[:max_shown]
+        for fault in printed:
             click.echo(str(fault), err=True)
-        if count > len(shown):
-            click.echo(f"and {count - len(shown)} more", err=True)
+        if count > len(printed):
+            click.echo(f"and {count - len(printed)} more", err=True)
         click.echo(f"{count} faults", err=True)
     raise SystemExit(2)
 
@@ -57,48 +57,48 @@
 @click.argument("file")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def check(file: str, as_json: bool) -> None:
-    """Hold FILE against the format and the rules; exit 2 with every fault."""
+    """Check FILE by the format and the rules; exit 2 and print all faults if there are any."""
     try:
         plan = load(file).plan
     except RefusedError as refused:
-        refuse(refused, as_json)
+        exit_with_faults(refused, as_json)
         return
-    told = {"classes": len(plan.classes), "endpoints": len(plan.endpoints), "terms": len(plan.terms)}
+    result = {"classes": len(plan.classes), "endpoints": len(plan.endpoints), "terms": len(plan.terms)}
     if as_json:
-        click.echo(json.dumps({"ok": True, **told}))
+        click.echo(json.dumps({"ok": True, **result}))
     else:
-        click.echo(f"{file}: good: " + ", ".join(f"{value} {name}" for name, value in told.items()))
+        click.echo(f"{file}: valid: " + ", ".join(f"{value} {name}" for name, value in result.items()))
 
 
 @command.command()
 @click.argument("file")
-@click.option("--json", "as_json", is_flag=True, help="As JSON: value and origin of each setting.")
+@click.option("--json", "as_json", is_flag=True, help="As JSON: the value and origin of each setting.")
 def show(file: str, as_json: bool) -> None:
-    """Print what holds under FILE, and where each value came from. The output is itself a configuration."""
+    """Print the settings in force with FILE, and the origin of each. The output is a configuration itself."""
     try:
         loaded = load(file)
     except RefusedError as refused:
-        refuse(refused, as_json)
+        exit_with_faults(refused, as_json)
         return
     if as_json:
         origins = loaded.origins()
-        told = {
+        result = {
             dotted(path): {"value": value, "origin": origins.get(path, "default")}
-            for path, value in leaves(plain(loaded), ())
+            for path, value in flattened(plan_values(loaded), ())
         }
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(result))
     else:
-        click.echo(shown(loaded), nl=False)
+        click.echo(annotated_toml(loaded), nl=False)
 
 
-def plain(loaded: LoadedPlan) -> dict[str, Any]:
-    """The plan as the file's own values, without what is not set."""
+def plan_values(loaded: LoadedPlan) -> dict[str, Any]:
+    """The plan as values of a file, without unset settings."""
     import msgspec
 
     from laureldock.setup.units import encode
 
-    told: dict[str, Any] = msgspec.to_builtins(loaded.plan, enc_hook=encode)
-    return without_none(told)  # type: ignore[no-any-return]
+    result: dict[str, Any] = msgspec.to_builtins(loaded.plan, enc_hook=encode)
+    return without_none(result)  # type: ignore[no-any-return]
 
 
 def without_none(value: Any) -> Any:
@@ -107,44 +107,44 @@
     return [without_none(each) for each in value] if isinstance(value, list) else value
 
 
-def leaves(value: Any, path: Path) -> list[tuple[Path, Any]]:
+def flattened(value: Any, path: Path) -> list[tuple[Path, Any]]:
     if isinstance(value, dict):
-        return [leaf for name, each in value.items() for leaf in leaves(each, (*path, name))]
+        return [leaf for name, each in value.items() for leaf in flattened(each, (*path, name))]
     if isinstance(value, list) and value and isinstance(value[0], dict):
-        return [leaf for index, each in enumerate(value) for leaf in leaves(each, (*path, index))]
+        return [leaf for index, each in enumerate(value) for leaf in flattened(each, (*path, index))]
     return [(path, value)]
 
 
-def shown(loaded: LoadedPlan) -> str:
+def annotated_toml(loaded: LoadedPlan) -> str:
     import tomlkit
 
     origins, document = loaded.origins(), tomlkit.document()
 
-    def fill(into: Any, told: dict[str, Any], path: Path) -> None:
-        tables = {name: each for name, each in told.items() if nested(each)}
-        for name, value in told.items():
+    def fill(target: Any, values: dict[str, Any], path: Path) -> None:
+        tables = {name: each for name, each in values.items() if is_table(each)}
+        for name, value in values.items():
             if name not in tables:
                 item = tomlkit.item(value)
                 item.comment(origins.get((*path, name), "default"))
-                into.add(name, item)
+                target.add(name, item)
         for name, value in tables.items():
             if isinstance(value, dict):
                 inner = tomlkit.table()
                 fill(inner, value, (*path, name))
-                into.add(name, inner)
+                target.add(name, inner)
             else:
                 array = tomlkit.aot()
                 for index, each in enumerate(value):
                     inner = tomlkit.table()
                     fill(inner, each, (*path, name, index))
                     array.append(inner)
-                into.add(name, array)
+                target.add(name, array)
 
-    fill(document, plain(loaded), ())
+    fill(document, plan_values(loaded), ())
     return tomlkit.dumps(document)
 
 
-def nested(value: Any) -> bool:
+def is_table(value: Any) -> bool:
     return isinstance(value, dict) or (isinstance(value, list) and bool(value) and isinstance(value[0], dict))
 
 
@@ -157,17 +157,17 @@
     from laureldock.setup.units import encode
     from laureldock.setup.units import schema as hook
 
-    told = msgspec.json.schema(plan.Plan, schema_hook=hook)
-    for name, table in told["$defs"].items():  # the defaults of durations and sizes
+    result = msgspec.json.schema(plan.Plan, schema_hook=hook)
+    for name, table in result["$defs"].items():  # msgspec omits the defaults of durations and sizes
         kind = getattr(plan, name)
         for each in msgspec.structs.fields(kind):
             if isinstance(each.default_factory, partial):
                 value = msgspec.to_builtins(each.default_factory(), enc_hook=encode)
                 table["properties"][each.encode_name]["default"] = value
-    click.echo(json.dumps(told, indent=2))
+    click.echo(json.dumps(result, indent=2))
 
 
 @command.command()
 def example() -> None:
-    """Print a commented file that passes the check."""
+    """Print an example configuration with comments."""
     click.echo(files("laureldock.setup").joinpath("example.toml").read_text(), nl=False)
--- a/laureldock/cli/config_changes.py
+++ b/laureldock/cli/config_changes.py
@@ -7,7 +7,7 @@
 
 import click
 
-MAX_TOLD = 1000  # faults of a refused change, a line each
+MAX_SHOWN = 1000  # faults printed of a refused change
 
 if TYPE_CHECKING:
     from laureldock.replication.messages import Status, SubscriberStatus
@@ -16,41 +16,43 @@
 @click.command()
 @click.argument("changes")
 @click.argument("address")
-@click.option("--expect", type=click.IntRange(0), help="Refused unless this is the newest version.")
+@click.option("--expect", type=click.IntRange(0), help="Refuse unless this is the newest version.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def apply(changes: str, address: str, expect: int | None, as_json: bool) -> None:
     """Propose the file CHANGES to the controller that listens at ADDRESS (host:port).
 
-    CHANGES is TOML: the tables of a configuration for what is put ([[endpoint]], [destination.NAME],
-    [[terms]], [customer.NAME], [class.NAME]), and for what is removed a list, as
-    remove = ["endpoint.bank-1"]. It is taken as a whole or not at all. Prints the version that it is; where
-    nothing differs, the present one.
+    CHANGES is TOML: entries to put are tables of a configuration ([[endpoint]], [destination.NAME],
+    [[terms]], [customer.NAME], [class.NAME]); entries to remove are a list, for example
+    remove = ["endpoint.bank-1"]. It is accepted as a whole or not at all. Prints the new version, or the
+    current one if nothing differs.
 
-    Exit codes: 0 accepted, 1 no answer (look at `config status` whether it was accepted), 2 refused.
+    Exit codes: 0 accepted, 1 no reply (see `config status` whether it was accepted), 2 refused.
     """
-    from laureldock.cli.config import refuse
+    from laureldock.cli.config import exit_with_faults
     from laureldock.controller.client import UnreachableError, propose
     from laureldock.replication.messages import Rejected
     from laureldock.setup.changes_file import locate_change_faults, read_changes
     from laureldock.setup.faults import Fault, RefusedError
 
     try:
-        change, places = read_changes(changes)
+        change, locations = read_changes(changes)
     except RefusedError as refused:
-        refuse(refused, as_json)
+        exit_with_faults(refused, as_json)
         return
     try:
-        answer = propose(address, change, -1 if expect is None else expect)
+        reply = propose(address, change, -1 if expect is None else expect)
     except UnreachableError as fault:
         raise click.ClickException(str(fault)) from None
-    if isinstance(answer, Rejected):
-        faults = [Fault(each.path, each.reason, each.allowed, each.also or None) for each in answer.faults]
-        refuse(RefusedError(locate_change_faults(faults, places)), as_json, MAX_TOLD, answer.count)
+    if isinstance(reply, Rejected):
+        faults = [Fault(each.path, each.reason, each.allowed, each.also or None) for each in reply.faults]
+        exit_with_faults(
+            RefusedError(locate_change_faults(faults, locations)), as_json, MAX_SHOWN, reply.count
+        )
         return
-    position = answer.position
+    position = reply.position
     if as_json:
-        told = {"ok": True, "version": position.version, "epoch": position.epoch, "digest": answer.digest}
-        click.echo(json.dumps(told))
+        result = {"ok": True, "version": position.version, "epoch": position.epoch, "digest": reply.digest}
+        click.echo(json.dumps(result))
     else:
         click.echo(f"version {position.version}")
 
@@ -59,25 +61,25 @@
 @click.argument("address")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def status(address: str, as_json: bool) -> None:
-    """Print how many dispatchers have which version in force, by the controller at ADDRESS (host:port)."""
+    """Print how many dispatchers run which version, as the controller at ADDRESS (host:port) knows it."""
     from laureldock.controller import client
 
     try:
-        found = client.status(address)
+        current = client.status(address)
     except client.UnreachableError as fault:
         raise click.ClickException(str(fault)) from None
-    click.echo(json.dumps(fields(found)) if as_json else "\n".join(lines(found)))
+    click.echo(json.dumps(status_fields(current)) if as_json else "\n".join(status_lines(current)))
 
 
-def fields(found: Status) -> dict[str, Any]:
+def status_fields(current: Status) -> dict[str, Any]:
     return {
-        "version": found.position.version,
-        "epoch": found.position.epoch,
-        "digest": found.digest,
-        "entries": found.entries,
-        "accepted_seconds_ago": None if found.accepted_seconds_ago < 0 else found.accepted_seconds_ago,
-        "versions": {each.version: each.dispatchers for each in found.versions},
-        "slowest": [subscriber_fields(each) for each in found.slowest],
+        "version": current.position.version,
+        "epoch": current.position.epoch,
+        "digest": current.digest,
+        "entries": current.entries,
+        "accepted_seconds_ago": None if current.accepted_seconds_ago < 0 else current.accepted_seconds_ago,
+        "versions": {each.version: each.dispatchers for each in current.versions},
+        "slowest": [subscriber_fields(each) for each in current.slowest],
     }
 
 
@@ -94,21 +96,23 @@
     }
 
 
-def lines(found: Status) -> list[str]:
-    ago = found.accepted_seconds_ago
+def status_lines(current: Status) -> list[str]:
+    ago = current.accepted_seconds_ago
     when = "" if ago < 0 else f", accepted {ago:.1f} s ago"
-    told = [f"version {found.position.version}{when}, {found.entries} entries, digest {found.digest:016x}"]
-    told.append(f"{sum(each.dispatchers for each in found.versions)} dispatchers")
-    told += [f"  {each.dispatchers} with version {each.version} in force" for each in found.versions]
-    if found.slowest:
-        told.append("not at the newest version, the slowest first:")
-    return told + [f"  {subscriber_line(each)}" for each in found.slowest]
+    text = [
+        f"version {current.position.version}{when}, {current.entries} entries, digest {current.digest:016x}"
+    ]
+    text.append(f"{sum(each.dispatchers for each in current.versions)} dispatchers")
+    text += [f"  {each.dispatchers} with version {each.version} in force" for each in current.versions]
+    if current.slowest:
+        text.append("not at the newest version, the slowest first:")
+    return text + [f"  {subscriber_line(each)}" for each in current.slowest]
 
 
 def subscriber_line(each: SubscriberStatus) -> str:
-    told = f"{each.dispatcher}: version {each.position.version}, behind for {each.behind_seconds:.1f} s"
+    text = f"{each.dispatcher}: version {each.position.version}, behind for {each.behind_seconds:.1f} s"
     if not each.connected:
-        told += f", not connected, last heard {each.silent_seconds:.1f} s ago"
+        text += f", not connected, last heard {each.silent_seconds:.1f} s ago"
     if each.refused_version:
-        told += f", refused version {each.refused_version}: {each.refused_reason}"
-    return told
+        text += f", refused version {each.refused_version}: {each.refused_reason}"
+    return text
--- a/laureldock/cli/controller.py
+++ b/laureldock/cli/controller.py
@@ -10,7 +10,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.main import installReactor
 
-from laureldock.cli.config import refuse
+from laureldock.cli.config import exit_with_faults
 from laureldock.controller.service import ControllerService
 from laureldock.logs import Logs
 from laureldock.replication.change_log import SpoiltLogError
@@ -23,10 +23,10 @@
 @click.command("controller")
 @click.argument("file")
 def command(file: str) -> None:
-    """Run a controller by the configuration FILE, which has a [controller] table and no entries.
+    """Run a controller with the configuration FILE, which has a [controller] table and no entries.
 
-    It accepts changes (`laureldock config apply`), keeps them in its state folder, and carries them to the
-    dispatchers that name it in [source]. SIGUSR1 logs the counters, SIGTERM ends it in order.
+    It accepts changes (`laureldock config apply`), stores them in its state folder, and sends them to the
+    dispatchers that name it in [source]. SIGUSR1 logs the counters, SIGTERM shuts down gracefully.
     """
     try:
         plan = load(file).plan
@@ -35,19 +35,19 @@
                 [LocatedFault(file, 0, Fault(("controller",), "is missing", "a table [controller]"))]
             )
     except RefusedError as refused:
-        refuse(refused)
+        exit_with_faults(refused)
         return
     reactor = SteadyReactor()
     installReactor(reactor)
-    signal.signal(signal.SIGUSR1, signal.SIG_IGN)  # until there are counters
+    signal.signal(signal.SIGUSR1, signal.SIG_IGN)  # ignored until there are counters to log
     try:
         Logs(plan.log)
         service = ControllerService(plan, Path(file).parent / plan.controller.state, reactor)
         service.start()
     except RefusedChangeError as refused_state:
-        found = [LocatedFault(f"{file}: state", 0, fault) for fault in refused_state.faults]
-        click.echo("what was accepted does not fit this file any more:", err=True)
-        refuse(RefusedError(found))
+        faults = [LocatedFault(f"{file}: state", 0, fault) for fault in refused_state.faults]
+        click.echo("the accepted entries contradict this file:", err=True)
+        exit_with_faults(RefusedError(faults))
     except (SpoiltLogError, CannotListenError, OSError, ValueError) as fault:
         raise click.ClickException(f"cannot start: {type(fault).__name__}: {fault}") from None
     signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(service.log_counters))
--- a/laureldock/cli/fleet.py
+++ b/laureldock/cli/fleet.py
@@ -12,41 +12,41 @@
 import click
 
 
-def call(address: str, path: str, method: str = "GET") -> dict[str, Any]:
-    """OSError, ValueError."""
-    asked = urllib.request.Request(f"http://{address}{path}", method=method)
+def request_json(address: str, path: str, method: str = "GET") -> dict[str, Any]:
+    """The JSON object of a reply. Raises OSError or ValueError."""
+    request = urllib.request.Request(f"http://{address}{path}", method=method)
     try:
-        with urllib.request.urlopen(asked, timeout=5) as answer:
-            told = json.loads(answer.read())
-    except urllib.error.HTTPError as answer:
-        told = json.loads(answer.read())
-        raise ValueError(told.get("error", f"status {answer.code}")) from None
-    if not isinstance(told, dict):
-        raise ValueError("it answered no object")
-    return told
+        with urllib.request.urlopen(request, timeout=5) as response:
+            reply = json.loads(response.read())
+    except urllib.error.HTTPError as response:
+        reply = json.loads(response.read())
+        raise ValueError(reply.get("error", f"status {response.code}")) from None
+    if not isinstance(reply, dict):
+        raise ValueError("the reply is not a JSON object")
+    return reply
 
 
-def asked(address: str, path: str, method: str = "GET") -> dict[str, Any]:
+def query(address: str, path: str, method: str = "GET") -> dict[str, Any]:
     try:
-        return call(address, path, method)
+        return request_json(address, path, method)
     except (OSError, ValueError) as fault:
         raise click.ClickException(f"no answer from {address}: {fault}") from None
 
 
-def table(told: dict[str, Any]) -> list[str]:
+def view_lines(reply: dict[str, Any]) -> list[str]:
     rows = [("member", "site", "state", "generation", "incarnation", "load", "address")]
-    for each in told["members"]:
+    for each in reply["members"]:
         state = each["state"] + (" (lameduck)" if each["lameduck"] else "")
         load = f"{each['load']:.0%}"
-        told_of = each["name"], each["site"], state, str(each["generation"]), str(each["incarnation"])
-        rows.append((*told_of, load, each["address"]))
+        columns = each["name"], each["site"], state, str(each["generation"]), str(each["incarnation"])
+        rows.append((*columns, load, each["address"]))
     widths = [max(len(row[index]) for row in rows) for index in range(len(rows[0]))]
     lines = [
-        f"{told['name']} in {told['fleet']} ({told['standing']}): digest {told['digest']}, version"
-        f" {told['version']}, still for {told['still_s']:.1f} s"
+        f"{reply['name']} in {reply['fleet']} ({reply['standing']}): digest {reply['digest']}, version"
+        f" {reply['version']}, still for {reply['still_s']:.1f} s"
     ]
     lines += ["  ".join(f"{each:{width}}" for each, width in zip(row, widths, strict=True)) for row in rows]
-    for site, by in sorted(told["reach"].items()):
+    for site, by in sorted(reply["reach"].items()):
         heard = ", ".join(f"{name} {share:.0%}" for name, share in sorted(by.items()))
         lines.append(f"site {site or '-'}: heard by {heard}")
     return [line.rstrip() for line in lines]
@@ -54,36 +54,36 @@
 
 @click.group("fleet")
 def command() -> None:
-    """The view that a dispatcher has of its fleet, by its operators' ADDRESS (host:port)."""
+    """Show the fleet view of the dispatcher with the management ADDRESS (host:port)."""
 
 
 @command.command()
 @click.argument("address")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def view(address: str, as_json: bool) -> None:
-    """Print the members as the dispatcher at ADDRESS holds them."""
-    told = asked(address, "/_fleet")
-    click.echo(json.dumps(told) if as_json else "\n".join(table(told)))
+    """Print the members in the view of the dispatcher at ADDRESS."""
+    reply = query(address, "/_fleet")
+    click.echo(json.dumps(reply) if as_json else "\n".join(view_lines(reply)))
 
 
 @command.command()
 @click.argument("address")
-@click.option("--json", "as_json", is_flag=True, help="A JSON object a change.")
-@click.option("--every", default=1.0, show_default=True, help="Seconds between looks.")
-@click.option("--count", type=int, help="End after so many looks; else at an interrupt.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object per change.")
+@click.option("--every", default=1.0, show_default=True, help="Seconds between polls.")
+@click.option("--count", type=int, help="Stop after this many polls; default: at an interrupt.")
 def watch(address: str, as_json: bool, every: float, count: int | None) -> None:
-    """Print what changes in the view of the dispatcher at ADDRESS."""
+    """Print changes in the view of the dispatcher at ADDRESS."""
     before: dict[str, Any] = {}
-    looks = 0
-    while count is None or looks < count:
-        if looks:
+    polls = 0
+    while count is None or polls < count:
+        if polls:
             time.sleep(every)
-        looks += 1
-        told = asked(address, "/_fleet")
-        for line in differences(before, told):
+        polls += 1
+        reply = query(address, "/_fleet")
+        for line in differences(before, reply):
             stamp = time.strftime("%H:%M:%S")
-            click.echo(json.dumps({"at": stamp, **line}) if as_json else f"{stamp} {shown(line)}")
-        before = told
+            click.echo(json.dumps({"at": stamp, **line}) if as_json else f"{stamp} {change_line(line)}")
+        before = reply
 
 
 def differences(before: dict[str, Any], after: dict[str, Any]) -> list[dict[str, Any]]:
@@ -100,7 +100,7 @@
     return found + [{"member": name, "state": "forgotten"} for name in known]
 
 
-def shown(line: dict[str, Any]) -> str:
+def change_line(line: dict[str, Any]) -> str:
     return " ".join(
         [str(line["member"]), *(f"{name}={value}" for name, value in line.items() if name != "member")]
     )
@@ -110,6 +110,6 @@
 @click.argument("name")
 @click.argument("address")
 def forget(name: str, address: str) -> None:
-    """Tell the fleet, by the dispatcher at ADDRESS, that the failed member NAME will not return."""
-    asked(address, f"/_fleet/forget/{urllib.parse.quote(name, safe='')}", "PUT")
-    click.echo(f"{name} is held to have left")
+    """Mark the failed member NAME as left, through the dispatcher at ADDRESS; it will not return."""
+    query(address, f"/_fleet/forget/{urllib.parse.quote(name, safe='')}", "PUT")
+    click.echo(f"{name} is marked as left")
--- a/laureldock/cli/info.py
+++ b/laureldock/cli/info.py
@@ -10,15 +10,15 @@
 from laureldock.wire import resp
 
 
-def figures(address: str) -> dict[str, int | str]:
-    """The counters of the dispatcher that listens there. OSError, ValueError."""
+def read_counters(address: str) -> dict[str, int | str]:
+    """The counters of the dispatcher that listens there. Raises OSError or ValueError."""
     host, _, port = address.rpartition(":")
-    with socket.create_connection((host, int(port)), 5) as link, link.makefile("rb") as answer:
-        link.sendall(resp.command(b"INFO"))
-        head = answer.readline()
-        if head[:1] != b"$":
-            raise ValueError(f"it answered {head[:60]!r}")
-        text = answer.read(int(head[1:])).decode()
+    with socket.create_connection((host, int(port)), 5) as connection, connection.makefile("rb") as reply:
+        connection.sendall(resp.command(b"INFO"))
+        header = reply.readline()
+        if header[:1] != b"$":
+            raise ValueError(f"unexpected reply {header[:60]!r}")
+        text = reply.read(int(header[1:])).decode()
     pairs = (line.partition(":") for line in text.splitlines() if line and not line.startswith("#"))
     return {name: int(value) if value.isdigit() else value for name, _, value in pairs}
 
@@ -29,11 +29,11 @@
 def command(address: str, as_json: bool) -> None:
     """Print the counters of the dispatcher that listens at ADDRESS (host:port)."""
     try:
-        told = figures(address)
+        counters = read_counters(address)
     except (OSError, ValueError) as fault:
         raise click.ClickException(f"no answer from {address}: {fault}") from None
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(counters))
         return
-    for name, value in told.items():
+    for name, value in counters.items():
         click.echo(f"{name}: {value}")
--- a/laureldock/cli/rehearse.py
+++ b/laureldock/cli/rehearse.py
@@ -12,20 +12,23 @@
 
 
 @click.group("rehearse", invoke_without_command=True)
-@click.option("--seed", default=1, show_default=True, help="Of the load and of the stand-ins' pace.")
-@click.option("--rate", default=30.0, show_default=True, help="Mails a second.")
-@click.option("--kill", type=float, help="Second at which the dispatcher is killed and started again.")
-@click.option("--folder", type=click.Path(path_type=Path), help="Kept afterwards; else a temporary one.")
+@click.option(
+    "--seed", default=1, show_default=True, help="Seed of the load and of the stub receivers' delays."
+)
+@click.option("--rate", default=30.0, show_default=True, help="Messages per second.")
+@click.option("--kill", type=float, help="Time in seconds at which the dispatcher is killed and restarted.")
+@click.option("--folder", type=click.Path(path_type=Path), help="Working folder, kept; default: temporary.")
 @click.option("--json", "as_json", is_flag=True, help="The verdicts as JSON.")
 @click.pass_context
 def command(
     ctx: click.Context, /, seed: int, rate: float, kill: float | None, folder: Path | None, as_json: bool
 ) -> None:
-    """Rehearse half a minute of trouble on loopback, and judge it.
+    """Run half a minute of faults on loopback, and check the delivery rules.
 
-    A dispatcher by the example configuration serves some hundred mails of all three effects. One stand-in
-    receiver refuses for a while, one goes silent, one comes back cold, one fails, one is drained. The six
-    rules are judged by an account that stand-ins and clients keep. Exit 1 if one was broken or not tried.
+    A dispatcher with the example configuration serves a few hundred messages of all three effects. One stub
+    receiver refuses calls for a while, one stops responding, one recovers slowly, one fails, one is drained.
+    The six rules are checked by the records of stub receivers and clients. Exit 1 if one was broken or not
+    tried.
     """
     if ctx.invoked_subcommand:
         return
@@ -41,8 +44,8 @@
         except TimeoutError as fault:
             raise click.ClickException(str(fault)) from None
     if as_json:
-        told = {each.rule: {"counted": each.counted, "broken": each.broken} for each in outcome.verdicts}
-        click.echo(json.dumps({"held": outcome.held, "rules": told}))
+        rules = {each.rule: {"counted": each.counted, "broken": each.broken} for each in outcome.verdicts}
+        click.echo(json.dumps({"held": outcome.held, "rules": rules}))
     else:
         click.echo("\n".join(table(outcome)))
     raise SystemExit(0 if outcome.held else 1)
@@ -50,21 +53,21 @@
 
 @command.command()
 @click.argument("script", required=False)
-@click.option("--seed", default=1, show_default=True, help="Of what is drawn, spoilt and handed in.")
-@click.option("--dispatchers", type=int, help="Other than the script's number of members.")
+@click.option("--seed", default=1, show_default=True, help="Seed of faults, corruption and messages.")
+@click.option("--dispatchers", type=int, help="Number of dispatchers; default: the script's.")
 @click.option("--period", default=0.2, show_default=True, help="Seconds between probes.")
-@click.option("--rate", default=10.0, show_default=True, help="Mails a second, over all dispatchers.")
-@click.option("--model", is_flag=True, help="On one clock set by hand, with no processes and no mails.")
-@click.option("--folder", type=click.Path(path_type=Path), help="Kept afterwards; else a temporary one.")
+@click.option("--rate", default=10.0, show_default=True, help="Messages per second, over all dispatchers.")
+@click.option("--model", is_flag=True, help="Simulate on a manual clock, without processes or messages.")
+@click.option("--folder", type=click.Path(path_type=Path), help="Working folder, kept; default: temporary.")
 @click.option("--json", "as_json", is_flag=True, help="The verdict as JSON.")
 def fleet(
     script: str | None, seed: int, dispatchers: int | None, period: float, rate: float, model: bool,
     folder: Path | None, as_json: bool,
 ) -> None:  # fmt: skip
-    """Rehearse faults among a fleet of real processes on loopback, by SCRIPT; without it, list those shipped.
+    """Run SCRIPT of faults in a fleet of real processes on loopback; without it, list the shipped scripts.
 
-    Each dispatcher has an address of its own, and a relay before it that cuts and spoils what passes. Exit 1
-    if views were not equal in time after the last fault, or a rule was broken for any mail.
+    Each dispatcher has its own address, and a relay in front of it that drops and corrupts traffic. Exit 1 if
+    the views were not equal in time after the last fault, or a rule was broken for any message.
     """
     try:
         from laureldock.rehearsal.fleet.processes import play
@@ -103,7 +106,7 @@
         click.echo(
             f"{found.name}, seed {seed}: {'held' if verdict.held else 'BROKEN'}; views equal"
             f" {verdict.settled:.1f} periods after the last fault, {len(verdict.events)} events,"
-            f" {verdict.bytes_each:.0f} bytes a member and period"
+            f" {verdict.bytes_each:.0f} bytes per member and period"
         )
         for rule, cases, broken in verdict.rules:
             click.echo(f"  {rule:36} {f'BROKEN {broken} times' if broken else 'held'} in {cases} cases")
@@ -113,13 +116,15 @@
 
 
 @command.command()
-@click.option("--seed", default=1, show_default=True, help="Of the first dispatcher; the others count on.")
-@click.option("--dispatchers", default=24, show_default=True, help="Real processes, all at once.")
-@click.option("--seconds", default=60.0, show_default=True, help="Of load and troubles.")
-@click.option("--rate", default=6.0, show_default=True, help="Mails a second, for each dispatcher.")
-@click.option("--hand-over", is_flag=True, help="On a passed socket, from process to process.")
-@click.option("--platform", is_flag=True, help="With the list of receivers and the notices of a platform.")
-@click.option("--folder", type=click.Path(path_type=Path), help="Kept afterwards; else a temporary one.")
+@click.option(
+    "--seed", default=1, show_default=True, help="Seed of the first dispatcher; the others count up."
+)
+@click.option("--dispatchers", default=24, show_default=True, help="Number of concurrent processes.")
+@click.option("--seconds", default=60.0, show_default=True, help="Duration of load and faults.")
+@click.option("--rate", default=6.0, show_default=True, help="Messages per second and dispatcher.")
+@click.option("--hand-over", is_flag=True, help="Hand over between processes on a passed socket.")
+@click.option("--platform", is_flag=True, help="Use a platform's endpoint list and notices.")
+@click.option("--folder", type=click.Path(path_type=Path), help="Working folder, kept; default: temporary.")
 def soak(
     seed: int,
     dispatchers: int,
@@ -129,10 +134,10 @@
     platform: bool,
     folder: Path | None,
 ) -> None:
-    """Soak real dispatchers on loopback under troubles that overlap, drawn by seeds.
+    """Soak real dispatchers on loopback under overlapping faults, drawn by seeds.
 
     Kills, planned stops, reloads, drains; receivers and connections that fail; clients that misbehave; system
-    calls that fail; a wall clock that is stepped. Exit 1 if a rule or an invariant was broken for any mail.
+    calls that fail; a wall clock that is stepped. Exit 1 if a rule or an invariant was broken for a message.
     """
     try:
         from laureldock.rehearsal.soak.findings import Findings
@@ -141,12 +146,12 @@
         hint = "pip install 'laureldock[rehearse]'"
         raise click.ClickException(f"{fault}; the rehearsal needs its extra: {hint}") from None
 
-    def say(found: Findings) -> None:
+    def print_findings(found: Findings) -> None:
         word = "BROKEN" if found.broken else "held"
         click.echo(
             f"seed {found.seed}: {word}; {found.handed_in} handed in, {found.accepted} accepted,"
             f" {found.delivered} delivered, {found.restarts} restarts, {found.hand_overs} hand-overs,"
-            f" {len(found.troubles)} troubles; stand-ins late by {found.held_up:.2f}s at most, at"
+            f" {len(found.troubles)} faults; stub receivers stalled for {found.held_up:.2f}s at most, at"
             f" {found.held_up_at:.1f}s"
         )
         for each in found.broken:
@@ -156,35 +161,35 @@
 
     with tempfile.TemporaryDirectory() as temporary:
         seeds = range(seed, seed + dispatchers)
-        found = asyncio.run(play(folder or Path(temporary), seeds, seconds, rate, say, hand_over, platform))
+        found = asyncio.run(
+            play(folder or Path(temporary), seeds, seconds, rate, print_findings, hand_over, platform)
+        )
     broken = [each.seed for each in found if each.broken]
     click.echo(f"{len(found) - len(broken)} of {len(found)} held" + (f"; broken: {broken}" if broken else ""))
     raise SystemExit(1 if broken else 0)
 
 
 @command.command()
-@click.option("--members", default=100, show_default=True, help="Hollow and real together.")
-@click.option(
-    "--real", default=24, show_default=True, help="Of them, real dispatchers as processes of their own."
-)
-@click.option("--script", default="all", show_default=True, help="Phases in their order, divided by commas.")
-@click.option("--seed", default=1, show_default=True, help="Of what is drawn: victims, losses, jitter.")
-@click.option("--period", default=1.0, show_default=True, help="Seconds between probes of the view.")
-@click.option("--delays", default=1.0, show_default=True, help="Times the modelled delays; 0: none.")
-@click.option("--in-process", default=64, show_default=True, help="Hollow members in a process, at most.")
-@click.option("--filled", is_flag=True, help="Hollow members know each other at the start.")
+@click.option("--members", default=100, show_default=True, help="Hollow and real members together.")
+@click.option("--real", default=24, show_default=True, help="Members that are real dispatcher processes.")
+@click.option("--script", default="all", show_default=True, help="Phases in order, separated by commas.")
+@click.option("--seed", default=1, show_default=True, help="Seed of victims, losses and jitter.")
+@click.option("--period", default=1.0, show_default=True, help="Seconds between probes.")
+@click.option("--delays", default=1.0, show_default=True, help="Factor of the modelled delays; 0: none.")
+@click.option("--in-process", default=64, show_default=True, help="Maximum hollow members per process.")
+@click.option("--filled", is_flag=True, help="Let hollow members know each other at startup.")
 @click.option("--controller/--no-controller", default=True, show_default=True, help="Follow a configuration.")
-@click.option("--json", "json_file", type=click.Path(path_type=Path), help="The results, kept as JSON.")
-@click.option("--plot", "plot_file", type=click.Path(path_type=Path), help="The results as a picture.")
-@click.option("--folder", type=click.Path(path_type=Path), help="Kept afterwards; else a temporary one.")
+@click.option("--json", "json_file", type=click.Path(path_type=Path), help="File for the results as JSON.")
+@click.option("--plot", "plot_file", type=click.Path(path_type=Path), help="File for a plot of the results.")
+@click.option("--folder", type=click.Path(path_type=Path), help="Working folder, kept; default: temporary.")
 def scale(
     members: int, real: int, script: str, seed: int, period: float, delays: float, in_process: int,
     filled: bool, controller: bool, json_file: Path | None, plot_file: Path | None, folder: Path | None,
 ) -> None:  # fmt: skip
-    """Measure what control costs a fleet of many members on loopback, beside its budgets.
+    """Measure the control traffic of a large fleet on loopback against its budgets.
 
-    Most members are hollow: they run the view and follow the configuration over real sockets, and take no
-    mails. They stand in regions and zones with modelled delays. A budget that is failed is printed as `over`.
+    Most members are hollow: they run the view and follow the configuration over real sockets, but accept no
+    messages. They are in regions and zones with modelled delays. An exceeded budget is printed as `over`.
     """
     from laureldock.rehearsal.scale import report
     from laureldock.rehearsal.scale.runner import ScaleRun
--- a/laureldock/cli/serve.py
+++ b/laureldock/cli/serve.py
@@ -15,7 +15,7 @@
 from twisted.internet.main import installReactor
 
 from laureldock.assembly import Assembly, Prepared
-from laureldock.cli.config import refuse
+from laureldock.cli.config import exit_with_faults
 from laureldock.logs import Logs
 from laureldock.setup.faults import RefusedError, dotted
 from laureldock.setup.plan import Plan
@@ -27,13 +27,13 @@
 from laureldock.transient_errors import wait_for
 
 
-def faults_of(plan: Plan, bounds: Bounds) -> list[str]:
-    """Of a platform's plan, where it breaks the rules, in plain words."""
+def faults_in_plan(plan: Plan, bounds: Bounds) -> list[str]:
+    """Faults of a platform's plan by the rules, as text."""
     return [f"{dotted(fault.path)}: {fault.reason}" for fault in check(plan, bounds)]
 
 
-def waits_for(what: str) -> Callable[[OSError], None]:
-    """Logs that a start waits for something which cannot be opened now."""
+def log_wait(what: str) -> Callable[[OSError], None]:
+    """A callback that logs that startup waits for something which cannot be opened now."""
 
     def log(error: OSError) -> None:
         structlog.get_logger().warning("start waits", waits_for=what, fault=str(error))
@@ -43,104 +43,110 @@
 
 @click.command("serve", context_settings={"auto_envvar_prefix": "LAURELDOCK"})
 @click.argument("file", required=False)
-@click.option("--name", show_envvar=True, help="Of this dispatcher.")
-@click.option("--seed", type=int, show_envvar=True, help="Of all chance.")
-@click.option("--state", show_envvar=True, help="Folder that outlives the process.")
-@click.option("--listen", show_envvar=True, help="Where the first front listens, host:port.")
+@click.option("--name", show_envvar=True, help="Name of this dispatcher.")
+@click.option("--seed", type=int, show_envvar=True, help="Seed of all random choices.")
+@click.option("--state", show_envvar=True, help="Persistent state folder.")
+@click.option("--listen", show_envvar=True, help="Address of the first front, host:port.")
 @click.option("--log-level", show_envvar=True, help="debug, info, warning or error.")
 @click.option("--log-format", show_envvar=True, help="auto, json or text.")
 @click.pass_context
-def command(ctx: click.Context, /, file: str | None, **told: Any) -> None:
-    """Run a dispatcher by the configuration FILE.
+def command(ctx: click.Context, /, file: str | None, **options: Any) -> None:
+    """Run a dispatcher with the configuration FILE.
 
-    Without FILE it is told by its platform, through LB_CONFIG and its like. What flags say wins over the
-    environment, that over the file, and the file over the defaults. SIGHUP reads the file anew, SIGUSR1 logs
-    the counters, SIGTERM ends it in order.
+    Without FILE, the platform configures it through LB_CONFIG and the other LB_ variables. Flags override the
+    environment, which overrides the file, which overrides the defaults. SIGHUP reads the file again, SIGUSR1
+    logs the counters, SIGTERM shuts down gracefully.
     """
     if file is None and "LB_CONFIG" not in os.environ:
         raise click.UsageError(
-            "no configuration: give a FILE (`laureldock config example > laureldock.toml` makes one),"
+            "no configuration: give a FILE (`laureldock config example > laureldock.toml` writes one),"
             " or set LB_CONFIG as a platform does"
         )
     overrides: list[Override] = []
-    for name, value in told.items():
+    for name, value in options.items():
         source = ctx.get_parameter_source(name)
         origin = "environment" if source is click.core.ParameterSource.ENVIRONMENT else "flag"
         label = f"LAURELDOCK_{name.upper()}" if origin == "environment" else f"--{name.replace('_', '-')}"
         overrides += overrides_of({name: value}, f"{origin} {label}")
-    # Until the handlers stand, SIGHUP would end the process; what it tells meanwhile is read once it runs.
-    early: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    # Without a handler SIGHUP would end the process. One that comes during startup is kept, and the file is
+    # read again once the dispatcher runs.
+    early_signals: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
-    doubts: list[str] = []
+    plan_faults: list[str] = []
     try:
         if file is None:
             plan, bounds = plan_from_platform(os.environ)
-            doubts = faults_of(plan, bounds)
+            plan_faults = faults_in_plan(plan, bounds)
             state = Path(plan.state)
             if not state.is_dir():
-                raise ValueError(f"no folder for the spool: {state}")
+                raise ValueError(f"the state folder does not exist: {state}")
         else:
             loaded = load(file, overrides)
             plan, state = loaded.plan, loaded.state
-            wait_for(partial(state.mkdir, parents=True, exist_ok=True), waits_for("folder"))
+            wait_for(partial(state.mkdir, parents=True, exist_ok=True), log_wait("folder"))
     except RefusedError as refused:
-        refuse(refused)
+        exit_with_faults(refused)
         return
     except (ValueError, OSError) as fault:
         raise click.ClickException(f"cannot start: {type(fault).__name__}: {fault}") from None
 
-    ended: list[str] = []
-    reactor = wait_for(SteadyReactor, waits_for("reactor"))
+    errors: list[str] = []
+    reactor = wait_for(SteadyReactor, log_wait("reactor"))
     installReactor(reactor)
 
     def end(fault: str) -> None:
-        ended.append(fault)
+        errors.append(fault)
         reactor.callLater(0, reactor.stop)
 
     try:
-        logs = wait_for(partial(Logs, plan.log, file is None), waits_for("log"))
-        store = wait_for(partial(Spool, state, plan.limits.disk), waits_for("spool"))
+        logs = wait_for(partial(Logs, plan.log, file is None), log_wait("log"))
+        store = wait_for(partial(Spool, state, plan.limits.disk), log_wait("spool"))
         assembly = Assembly(plan, state, reactor, end, store)
-        if doubts:  # a platform's word holds all the same: no dispatcher stays down for it
-            assembly.core.log.warning("settings questionable", faults=doubts[:20], count=len(doubts))
+        if plan_faults:  # applied all the same: a dispatcher must not stay down for them
+            assembly.core.log.warning(
+                "settings questionable", faults=plan_faults[:20], count=len(plan_faults)
+            )
         assembly.core.verbose = plan.log.level == "debug"
         assembly.start()
     except (ValueError, KeyError, TypeError, AttributeError, OSError) as fault:
         raise click.ClickException(f"cannot start: {type(fault).__name__}: {fault}") from None
 
-    def retold() -> None:
-        """The platform's file anew: the list's address, queue classes, limits; or nothing of it."""
+    def reload_platform_file() -> None:
+        """Read the platform's file again and apply it, or keep all settings if it has a fault.
+
+        It may change the address of the endpoint list, queue classes and limits.
+        """
         try:
             plan, bounds = plan_from_platform(os.environ, reload=True)
-            if faults := faults_of(plan, bounds):
+            if faults := faults_in_plan(plan, bounds):
                 raise ValueError("; ".join(faults[:20]))
         except ValueError as fault:
             assembly.unread([str(fault)])
             return
         assembly.retold(plan)
 
-    def fresh() -> Prepared | list[str]:
-        """The plan of the file as it is now, or its faults."""
+    def read_file() -> Prepared | list[str]:
+        """The plan of the file as it is now, or its faults as text."""
         try:
             return Prepared.of(load(str(file), overrides).plan)
         except RefusedError as refused:
             return [str(fault) for fault in refused.faults]
-        except Exception as fault:  # a defect of the reading ends no dispatcher, nor its next reload
-            return [f"a defect: {fault!r}"]
+        except Exception as fault:  # an internal error must stop neither the dispatcher nor later reloads
+            return [f"internal error: {fault!r}"]
 
-    def take_over(found: Prepared | list[str]) -> None:
+    def apply_file(found: Prepared | list[str]) -> None:
         if isinstance(found, list):
             assembly.unread(found)
         elif not assembly.reload(found):
-            logs.retell(found.plan.log)
+            logs.reconfigure(found.plan.log)
             assembly.core.verbose = found.plan.log.level == "debug"
 
-    reread = Reread(reactor, fresh, take_over)
+    reread = Reread(reactor, read_file, apply_file)
     signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(assembly.core.log_counters))
-    read_again = reread.ask if file else retold
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(read_again))
-    if early:
-        reactor.callWhenRunning(read_again)
+    reload_configuration = reread.ask if file else reload_platform_file
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload_configuration))
+    if early_signals:
+        reactor.callWhenRunning(reload_configuration)
     reactor.run()
-    sys.exit(f"Error: {ended[0]}" if ended else 0)
+    sys.exit(f"Error: {errors[0]}" if errors else 0)
--- a/laureldock/cli/spool.py
+++ b/laureldock/cli/spool.py
@@ -13,16 +13,18 @@
 
 @click.command("spool")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="A JSON object a line.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object per line.")
 def command(folder: Path, as_json: bool) -> None:
-    """Print what the spool in FOLDER owes; it is only read."""
+    """Print the pending messages of the spool in FOLDER, which is only read."""
     to_wall = read_clocks().monotonic_to_wall
-    for owed in Spool(folder, 0, writes=False).owed.values():
-        name, size = owed.name.decode(), len(owed.body)
+    for message in Spool(folder, 0, writes=False).owed.values():
+        name, size = message.name.decode(), len(message.body)
         if as_json:
-            told = {"mail": name, "destination": owed.destination, "queue_class": owed.queue_class}
+            fields = {"mail": name, "destination": message.destination, "queue_class": message.queue_class}
             click.echo(
-                json.dumps({**told, "connects": owed.attempts, "bytes": size, "end": owed.end + to_wall})
+                json.dumps(
+                    {**fields, "connects": message.attempts, "bytes": size, "end": message.end + to_wall}
+                )
             )
         else:
-            click.echo(f"{name} to {owed.destination}: {owed.attempts} connects, {size} bytes")
+            click.echo(f"{name} to {message.destination}: {message.attempts} attempts, {size} bytes")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from laureldock.cli import main
-from laureldock.cli.config import shown
+from laureldock.cli.config import annotated_toml
 from laureldock.setup import plan as model
 from laureldock.setup.faults import RefusedError
 from laureldock.setup.plan import Plan
@@ -250,7 +250,7 @@
     overrides = overrides_of({"name": "env", "log_level": "debug"}, "environment")
     loaded = load(str(path), [*overrides, *overrides_of({"name": "flag"}, "flag")])
     assert (loaded.plan.name, loaded.plan.seed, loaded.plan.log.level) == ("flag", 4, "debug")
-    text = shown(loaded)
+    text = annotated_toml(loaded)
     assert 'name = "flag" # flag' in text and "seed = 4 # " + str(path) + ":2" in text
     assert 'level = "debug" # environment' in text and "instances = 1 # default" in text
     with pytest.raises(RefusedError, match="flag: front"):
@@ -311,7 +311,7 @@
     path, again = tmp_path / "laureldock.toml", tmp_path / "again.toml"
     path.write_text(tomlkit.dumps(document))
     loaded = load(str(path))
-    again.write_text(shown(loaded))
+    again.write_text(annotated_toml(loaded))
     assert load(str(again)).plan == loaded.plan
     assert not forbidden_changes(loaded.plan, load(str(again)).plan)
 
