--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""A catalog of entries: what a change is refused for, with its places, and what it costs."""
+"""A catalog of entries: reasons and paths of refused changes, and the cost of a change."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 def refusal(catalog: Catalog, change: Change) -> list[Fault]:
-    """Its faults; nothing else may have changed."""
+    """The faults of a refused change, which must leave the catalog unchanged."""
     before = snapshot(catalog)
     with pytest.raises(RefusedChangeError) as refused:
         catalog.apply(change)
@@ -78,7 +78,7 @@
 
 
 def snapshot(catalog: Catalog) -> object:
-    """All that a catalog holds, indexes too; the order of equal settings aside."""
+    """All state of a catalog with its indexes, without the order of equal settings."""
     book = catalog.terms_index
     entries = {
         key: sorted((str(each.path), each.value) for each in found) for key, found in book.entries.items()
@@ -111,7 +111,7 @@
     return found
 
 
-def test_what_was_put_is_held_and_told_once(catalog: Catalog) -> None:
+def test_entries_put_are_held_and_a_repeat_changes_nothing(catalog: Catalog) -> None:
     assert len(catalog) == 7
     assert [str(entry.key) for entry in catalog.entries()] == [
         "class.charge", "customer.acme", "destination.north", "endpoint.n1", "endpoint.s1",
@@ -123,7 +123,7 @@
     assert catalog.apply(Change(tuple(held))) == AppliedChange()
 
 
-def test_an_endpoint_that_moves_tells_where_from(catalog: Catalog) -> None:
+def test_a_moved_endpoint_reports_its_previous_value(catalog: Catalog) -> None:
     before = catalog.endpoints["n1"]
     change = Change((endpoint("n1", "south", 9009),), (EntryKey(EntryKind.DESTINATION, "north"),))
     found = catalog.apply(change)
@@ -132,13 +132,13 @@
     assert set(catalog.endpoint_names) == {"south"}
 
 
-def test_a_class_overridden_has_its_base_again_once_that_is_removed(catalog: Catalog) -> None:
+def test_removing_a_class_override_restores_the_base(catalog: Catalog) -> None:
     assert catalog.in_force.classes["charge"].time_out == 5.0
     catalog.apply(Change(removals=(EntryKey(EntryKind.CLASS, "charge"),)))
     assert catalog.in_force.classes["charge"] == BASE.classes["charge"]
 
 
-def test_equal_entries_have_one_digest_whatever_the_way(catalog: Catalog) -> None:
+def test_equal_entries_have_equal_digests_in_any_order(catalog: Catalog) -> None:
     other = Catalog(BASE)
     other.apply(put(endpoint("x", "elsewhere")))
     found = other.replace(decode_entries(encode_entries(catalog.entries())))
@@ -180,17 +180,17 @@
         (removal("endpoint.s1"), "terms.class=charge,route=s1.route"),
         (removal("endpoint.s1"), "terms.class=news,destination=south.destination"),
         (removal("endpoint.n7"), "endpoint.n7"),
-        (removal("terms.class=charge,route=s1"), "class.charge.time_out"),  # and the endpoint's are equal
+        (removal("terms.class=charge,route=s1"), "class.charge.time_out"),  # conflicts with the endpoint
         (Change((endpoint("n1", "north"),), (EntryKey(EntryKind.ENDPOINT, "n1"),)), "endpoint.n1"),
     ],
 )  # fmt: skip
-def test_a_change_that_breaks_a_rule_is_refused_with_its_place(
+def test_a_change_that_breaks_a_rule_is_refused_with_its_path(
     catalog: Catalog, change: Change, place: str
 ) -> None:
     assert place in paths(refusal(catalog, change))
 
 
-def test_another_kind_of_a_destination_is_checked_at_its_routes_too(catalog: Catalog) -> None:
+def test_a_new_kind_of_a_destination_is_checked_at_its_routes_too(catalog: Catalog) -> None:
     settled = terms(queue_class="charge", route="e1", time_out=Seconds(2))
     catalog.apply(put(endpoint("e1", "east", 9005, time_out=Seconds(2)), settled, destination("east")))
     catalog.apply(put(terms(queue_class="news", kind="office", time_out=Seconds(3))))
@@ -200,31 +200,31 @@
     assert vars(catalog.places) == vars(of_entries(catalog).places)
 
 
-def test_two_that_swap_their_addresses_in_one_change_never_share_one(catalog: Catalog) -> None:
+def test_two_endpoints_may_swap_their_addresses_in_one_change(catalog: Catalog) -> None:
     catalog.apply(put(endpoint("n2", "north", 9003)))
     catalog.apply(put(endpoint("n1", "north", 9003), endpoint("n2", "north", 9001)))
     assert catalog.endpoints["n1"].address == "127.0.0.1:9003"
 
 
-def test_all_of_a_thousand_faults_are_told(catalog: Catalog) -> None:
+def test_all_of_a_thousand_faults_are_reported(catalog: Catalog) -> None:
     wrong = [destination(f"d{number}", "shpo") for number in range(500)]
     faults = refusal(catalog, put(*wrong, endpoint("n3", "east", 9005)))
     assert len(faults) == 1000 == len(paths(faults))
 
 
-def test_a_removal_of_what_is_not_held_may_be_let_pass(catalog: Catalog) -> None:
+def test_a_removal_of_a_missing_entry_may_be_ignored(catalog: Catalog) -> None:
     change = removal("endpoint.n7", "customer.acme")
     assert catalog.apply(change, missing_ok=True).customers == ["acme"]
 
 
-def test_names_of_terms_are_made_of_what_they_select() -> None:
+def test_names_of_terms_are_derived_from_their_selectors() -> None:
     assert terms(queue_class=["a", "b"], destination="c", connects=1).name == "class=a+b,destination=c"
     assert terms(name="mine", connects=1, queue_class="a").name == "mine"
     assert name_of(endpoint("x", "y").value) == "x"
 
 
 def calls_of(work: Callable[[], object]) -> int:
-    """How many functions it calls, of Python's own too."""
+    """The number of function calls that it makes, with those of built-in functions."""
     count = 0
 
     def counted(frame: object, event: str, argument: object) -> None:
@@ -240,7 +240,7 @@
 
 
 def of_entries(catalog: Catalog) -> Catalog:
-    """The same, filled at once."""
+    """A new catalog with the same entries, added in one step."""
     found = Catalog(BASE)
     found.replace(list(catalog.entries()))
     return found
@@ -264,13 +264,13 @@
 
 
 @pytest.mark.parametrize("name", CHANGES)
-def test_a_change_costs_the_same_where_more_is_held(name: str) -> None:
+def test_the_cost_of_a_change_does_not_depend_on_the_catalog_size(name: str) -> None:
     catalogs = [of_size(size) for size in (10, 3000)]
     few, many = (calls_of(lambda: catalog.apply(CHANGES[name])) for catalog in catalogs)  # noqa: B023
     assert few == many < 2000
 
 
-def test_a_refused_change_costs_the_same_where_more_is_held() -> None:
+def test_the_cost_of_a_refused_change_does_not_depend_on_the_catalog_size() -> None:
     change = put(terms(destination="d7", window=100), endpoint("e8", "d7"), destination("nowhere", window=90))
     catalogs = [of_size(size) for size in (600, 3000)]
 
--- a/tests/test_catalog_property.py
+++ b/tests/test_catalog_property.py
@@ -1,4 +1,4 @@
-"""Random sequences of changes, against the whole file that means the same."""
+"""Random sequences of changes, compared with an equivalent file."""
 
 from __future__ import annotations
 
@@ -58,8 +58,8 @@
 CLASSES = ("news", "charge")
 
 
-def whole(held: Mapping[EntryKey, CatalogEntry]) -> Plan:
-    """The file with these entries, made without a catalog."""
+def equivalent_plan(held: Mapping[EntryKey, CatalogEntry]) -> Plan:
+    """The plan of a file with these entries, made without a catalog."""
     classes = dict(BASE.classes)
     plan = structs.replace(
         BASE, source=Source(), classes=classes, destinations={}, customers={}, endpoints=[], terms=[]
@@ -80,7 +80,7 @@
 
 
 def changed(held: Held, change: Change) -> Held | None:
-    """What is held after it, unless it is refused."""
+    """The entries after the change, or None if it is refused."""
     keys = [*(entry.key for entry in change.puts), *change.removals]
     if len(set(keys)) < len(keys) or not set(change.removals) <= set(held):
         return None
@@ -88,9 +88,9 @@
         return None
     after = {key: entry for key, entry in held.items() if key not in change.removals}
     after |= {entry.key: entry for entry in change.puts}
-    plan = whole(after)
+    plan = equivalent_plan(after)
     faults = [fault for fault in check(plan, Bounds()) if fault != NO_ENDPOINT]
-    # Of a file without endpoints that one fault is told for all; no catalog is refused for having none yet.
+    # A file without endpoints has this one fault in place of all others; a catalog may have no endpoints yet.
     return None if faults or (plan.destinations and not plan.endpoints) else after
 
 
@@ -103,11 +103,11 @@
     "importance": st.sampled_from([0.0, 3.0]),
     "retry_after": st.sampled_from([1.0, 2.0, 3.0, 4.0]).map(Seconds),
 }
-# Few at once: most files of many random settings break a rule.
+# Few settings at once, since most files with many random settings break a rule.
 one_setting = st.sampled_from(sorted(some_settings)).flatmap(
     lambda name: st.fixed_dictionaries({name: some_settings[name]})
 )
-told_settings = st.one_of(
+some_or_no_settings = st.one_of(
     st.just(dict[str, Any]()),
     one_setting,
     st.fixed_dictionaries({name: some_settings[name] for name in ("window", "time_out")}),
@@ -118,7 +118,7 @@
 
 
 def mostly_listed(listed: Iterable[str], known: tuple[str, ...]) -> st.SearchStrategy[str]:
-    """Mostly what is listed, since most else is refused."""
+    """Mostly listed names, since most others are refused."""
     some = sorted(listed)
     return st.sampled_from([*some * 4, *known]) if some else st.sampled_from(known)
 
@@ -134,8 +134,8 @@
         zone=draw(st.sampled_from(["", "z"])),
         rate=draw(st.sampled_from([0.0, 20.0])),
     )
-    told: dict[str, Any] = draw(st.one_of(st.just({}), st.just({}), route_settings))
-    return EndpointEntry(name, structs.replace(value, **told))
+    chosen: dict[str, Any] = draw(st.one_of(st.just({}), st.just({}), route_settings))
+    return EndpointEntry(name, structs.replace(value, **chosen))
 
 
 @st.composite
@@ -146,29 +146,29 @@
         "route": mostly_listed(listed, (*ROUTES, "none")),
     }
     places = draw(st.sampled_from([(), *[(field,) for field in known] * 5, ("kind", "route")]))
-    told = dict(draw(route_settings if "route" in places else one_setting))
+    chosen = dict(draw(route_settings if "route" in places else one_setting))
     for field in places:
         some_names = st.lists(known[field], max_size=2, unique=draw(st.booleans()))
-        told[field] = draw(st.one_of(known[field], known[field], some_names))
-    if "window" not in told and draw(st.booleans()):
-        told["queue_class"] = draw(st.sampled_from([*CLASSES, list(CLASSES)]))
-    value = structs.replace(Entry(name=draw(st.sampled_from([None, None, "t1", "t2"]))), **told)
+        chosen[field] = draw(st.one_of(known[field], known[field], some_names))
+    if "window" not in chosen and draw(st.booleans()):
+        chosen["queue_class"] = draw(st.sampled_from([*CLASSES, list(CLASSES)]))
+    value = structs.replace(Entry(name=draw(st.sampled_from([None, None, "t1", "t2"]))), **chosen)
     return TermsEntry(terms_name(value), value)
 
 
 def destination_entries(listed: dict[str, str]) -> st.SearchStrategy[DestinationEntry]:
     return st.builds(
-        lambda name, kind, told: DestinationEntry(name, structs.replace(Destination(kind=kind), **told)),
+        lambda name, kind, chosen: DestinationEntry(name, structs.replace(Destination(kind=kind), **chosen)),
         mostly_listed(listed.values(), DESTINATIONS),
         st.sampled_from([None, *["shop", "office"] * 4, "shpo"]),
-        told_settings,
+        some_or_no_settings,
     )
 
 
 class_entries = st.builds(
-    lambda name, told: ClassEntry(name, structs.replace(ClassSettings(), **told)),
+    lambda name, chosen: ClassEntry(name, structs.replace(ClassSettings(), **chosen)),
     st.sampled_from([*CLASSES * 3, "nwes"]),
-    told_settings,
+    some_or_no_settings,
 )
 customer_entries = st.builds(
     lambda name, quota: CustomerEntry(name, Customer(quota=quota)),
@@ -192,7 +192,7 @@
 
 @st.composite
 def changes_to(draw: st.DrawFn, held: Held) -> Change:
-    """Some entries put, some of those held removed, or of those that are not."""
+    """Puts some entries, and removes some that are held or unknown."""
     listed = {name: each.value.destination for (_, name), each in endpoints_of(held).items()}
     puts = draw(st.lists(entries(listed), min_size=1, max_size=3, unique_by=lambda entry: entry.key))
     unknown = EntryKey(EntryKind.ENDPOINT, "unknown")
@@ -219,7 +219,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.data())
-def test_a_catalog_takes_what_the_whole_file_would_take_and_holds_the_same(data: st.DataObject) -> None:
+def test_a_catalog_accepts_and_holds_the_same_as_an_equivalent_file(data: st.DataObject) -> None:
     catalog, held = Catalog(BASE), Held()
     for change in drawn(data, held):
         after = changed(held, change)
@@ -242,14 +242,14 @@
 
 @settings(max_examples=80, deadline=None, derandomize=True)
 @given(st.data())
-def test_a_dispatcher_that_takes_changes_is_where_a_reload_of_the_whole_file_leads(
+def test_changes_lead_a_dispatcher_to_the_same_state_as_a_reload_of_the_file(
     data: st.DataObject,
 ) -> None:
     held = Held()
     with TemporaryDirectory() as folder, ExitStack() as ends:
         following, reloading, restarted = (
             ends.enter_context(closing(Assembled(plan, Path(folder, name))))
-            for name, plan in (("following", BASE), ("reloading", whole({})), ("restarted", BASE))
+            for name, plan in (("following", BASE), ("reloading", equivalent_plan({})), ("restarted", BASE))
         )
         for change in drawn(data, held):
             after, before = changed(held, change), following.state()
@@ -260,7 +260,7 @@
                 continue
             update(held, after)
             following.apply_change(change)
-            reloading.reloaded(whole(held))
+            reloading.reloaded(equivalent_plan(held))
             expect_same(following.state(), reloading.state())
         restarted.replace_entries(held.values())
         expect_same(restarted.state(), listed_alone(following.state()))
@@ -273,7 +273,7 @@
 
 
 def listed_alone(state: dict[str, Any]) -> dict[str, Any]:
-    """Without what is remembered of destinations that have no endpoint any more."""
+    """The state without destinations that no longer have an endpoint."""
     listed = {route[0] for route in state["routes"].values()}
     return state | {
         "destinations": {name: each for name, each in state["destinations"].items() if name in listed},
@@ -283,7 +283,7 @@
 
 
 def drawn(data: st.DataObject, held: Held) -> Iterator[Change]:
-    """First endpoints, then changes to what `held` is by then, as they come over the wire."""
+    """First endpoints, then changes to the current `held`, encoded and decoded as on the wire."""
     for entry in data.draw(first_entries):
         yield Change((entry,))
     for _ in range(data.draw(st.integers(1, 12))):
@@ -296,16 +296,16 @@
 
 
 def refusable(held: Held, change: Change) -> Change:
-    """A dispatcher lets removals pass of what is not held: one that is named twice is refused there too."""
+    """A change that a dispatcher refuses too: it ignores removals of missing entries, not repeats."""
     if set(change.removals) <= set(held):
         return change
     return Change(change.puts, (*change.removals, *change.removals))
 
 
 def same_settings(catalog: Catalog, held: Held) -> bool:
-    """Whether the book has what that of the whole file has, in whichever order."""
-    book, expected = catalog.terms_index, index_terms(whole(held))[0]
-    counted = book.settings == expected.settings and book.scopes == expected.scopes
-    return counted and {key: sorted(each.value for each in found) for key, found in book.entries.items()} == {
-        key: sorted(each.value for each in found) for key, found in expected.entries.items()
-    }
+    """Whether the index has the same settings as that of an equivalent file, in any order."""
+    index, expected = catalog.terms_index, index_terms(equivalent_plan(held))[0]
+    counted = index.settings == expected.settings and index.scopes == expected.scopes
+    return counted and {
+        key: sorted(each.value for each in found) for key, found in index.entries.items()
+    } == {key: sorted(each.value for each in found) for key, found in expected.entries.items()}
--- a/tests/test_changes_file.py
+++ b/tests/test_changes_file.py
@@ -1,4 +1,4 @@
-"""CHANGES.toml: read into a change, and refused with the lines of what is wrong."""
+"""CHANGES.toml: it is read into a change, or refused with the lines of its faults."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     return [str(fault).partition("changes.toml:")[2] for fault in refused.value.faults]
 
 
-def test_a_file_is_read_into_what_it_puts_and_removes(tmp_path: Path) -> None:
+def test_a_file_is_read_into_puts_and_removals(tmp_path: Path) -> None:
     change, _ = read_changes(written(tmp_path, GOOD))
     assert [str(entry.key) for entry in change.puts] == [
         "endpoint.n1",
@@ -62,7 +62,7 @@
     assert Catalog(BASE).apply(change, missing_ok=True)
 
 
-def test_all_faults_of_form_are_told_with_their_lines(tmp_path: Path) -> None:
+def test_all_faults_of_form_are_reported_with_their_lines(tmp_path: Path) -> None:
     text = GOOD.replace('"2s"', "2").replace("quota = 5.0", "quotas = 5.0").replace("endpoint.old", "olds")
     found = refusal(tmp_path, text + "[limits]\nslots = 3\n")
     assert [line.partition(":")[0] for line in found] == ["1", "6", "14", "17"]
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         (GOOD.replace("endpoint.old", "endpoint.n1"), "1: remove[0]: endpoint.n1 is put and removed"),
         ('remove = ["class.a",\n"class.a"]', "2: remove[1]: class.a is removed twice"),
@@ -79,12 +79,14 @@
         ("[[endpoint]", "1: not TOML"),
     ],
 )
-def test_what_cannot_be_one_change_is_refused_before_it_is_sent(tmp_path: Path, text: str, told: str) -> None:
+def test_contradictory_or_empty_changes_are_refused_before_sending(
+    tmp_path: Path, text: str, expected: str
+) -> None:
     found = refusal(tmp_path, text)
-    assert len(found) == 1 and found[0].startswith(told), found
+    assert len(found) == 1 and found[0].startswith(expected), found
 
 
-def test_faults_of_a_refused_change_stand_at_their_lines(tmp_path: Path) -> None:
+def test_faults_of_a_refused_change_have_their_lines(tmp_path: Path) -> None:
     catalog = Catalog(BASE)
     catalog.apply(put(endpoint("old", "west"), endpoint("x", "east"), terms(destination="west", connects=2)))
     catalog.apply(
@@ -105,7 +107,7 @@
     assert str(found[0]).endswith("(endpoint.old, line 1); allowed: east, north, south")
 
 
-def test_faults_of_entries_are_placed_at_their_own_lines(tmp_path: Path) -> None:
+def test_faults_of_entries_have_the_lines_of_their_settings(tmp_path: Path) -> None:
     _, places = read_changes(written(tmp_path, GOOD))
     faults = [
         Fault(("endpoint", "n1", "address"), "listed twice", "", ("endpoint", "elsewhere")),
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration files: refused with every fault, shown and read again the same, found in time."""
+"""Configuration files: refused with all their faults, printed and read back unchanged, reloaded."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 destination = "south"
 address = "127.0.0.1:9002"
 """
-# What is changed in it, `old -> new`, or put behind it.
+# Invalid changes of BASE: a replacement `old -> new`, or lines to add.
 REFUSED = """\
 slots = 16 -> slots = 0
 slots = 16 -> slots = 1.5
@@ -177,7 +177,7 @@
 [fleet]; name = "f"; listen = "127.0.0.1:7946"; period = "30s"; forget = "1min"
 [fleet]; name = "f f"; listen = "127.0.0.1:7946"; seeds = "127.0.0.1:7947"
 """
-WHOLE: dict[str, str | bytes] = {
+INVALID_FILES: dict[str, str | bytes] = {
     "no endpoint": BASE[: BASE.index("[[endpoint]]")],
     "no class": '[[endpoint]]\ndestination = "a"\naddress = "h:1"\n',
     "nothing": "",
@@ -209,12 +209,12 @@
     return []
 
 
-def test_deliberately_invalid_files_are_refused_each_with_its_reasons(tmp_path: Path) -> None:
+def test_invalid_files_are_refused_each_with_its_faults(tmp_path: Path) -> None:
     from dock import Trace
 
     path, trace = tmp_path / "laureldock.toml", Trace()
     assert not faults(path, BASE)
-    cases = {**{case: changed(case) for case in REFUSED.splitlines()}, **WHOLE}
+    cases = {**{case: changed(case) for case in REFUSED.splitlines()}, **INVALID_FILES}
     for case, text in cases.items():
         found = faults(path, text)
         assert found, case
@@ -222,14 +222,14 @@
     assert len(cases) >= 80 and trace.same_as("refused")
 
 
-def test_all_faults_are_told_in_one_run_with_exit_two_and_no_trace(tmp_path: Path) -> None:
+def test_all_faults_are_printed_in_one_run_with_exit_code_2_and_no_traceback(tmp_path: Path) -> None:
     path = tmp_path / "laureldock.toml"
     path.write_text(BASE.replace("slots = 16", "slots = 0\nconnects = 'x'").replace('"1s"', '"1 s."'))
     for command in (["config", "check"], ["config", "show"], ["serve"]):
         done = CliRunner().invoke(main, [*command, str(path)])
         assert done.exit_code == 2 and "5 faults" in done.output and "Traceback" not in done.output
-    told = json.loads(CliRunner().invoke(main, ["config", "check", "--json", str(path)]).stdout)
-    assert [each["line"] for each in told["faults"]] == [2, 3, 6, 11, 16]
+    printed = json.loads(CliRunner().invoke(main, ["config", "check", "--json", str(path)]).stdout)
+    assert [each["line"] for each in printed["faults"]] == [2, 3, 6, 11, 16]
     for place in (tmp_path, tmp_path / "none.toml"):
         done = CliRunner().invoke(main, ["config", "check", str(place)])
         assert done.exit_code == 2 and "cannot be read" in done.output
@@ -244,7 +244,7 @@
     assert set(schema["$defs"]["Plan"]["properties"]) >= {"class", "terms", "endpoint", "limits"}
 
 
-def test_flags_win_over_environment_over_file_over_defaults(tmp_path: Path) -> None:
+def test_flags_override_environment_over_file_over_defaults(tmp_path: Path) -> None:
     path = tmp_path / "laureldock.toml"
     path.write_text('name = "in-file"\nseed = 4\n' + BASE)
     overrides = overrides_of({"name": "env", "log_level": "debug"}, "environment")
@@ -257,7 +257,7 @@
         load(str(path), [Override(("front", 0, "listen"), "nowhere", "flag")])
 
 
-# Plans that pass, as a person might write them
+# Valid files, with the units and spellings that operators use
 
 
 def seconds(least: float, most: float) -> st.SearchStrategy[str]:
@@ -307,7 +307,7 @@
 @settings(max_examples=40, deadline=None, derandomize=True,
           suppress_health_check=[HealthCheck.function_scoped_fixture])  # fmt: skip
 @given(documents())
-def test_what_is_shown_and_read_again_is_the_same(tmp_path: Path, document: dict[str, object]) -> None:
+def test_a_printed_configuration_reads_back_unchanged(tmp_path: Path, document: dict[str, object]) -> None:
     path, again = tmp_path / "laureldock.toml", tmp_path / "again.toml"
     path.write_text(tomlkit.dumps(document))
     loaded = load(str(path))
@@ -318,7 +318,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.floats(0, 1e7, allow_nan=False), st.integers(0, 1 << 50))
-def test_durations_and_sizes_are_written_so_that_they_read_back(duration: float, size: int) -> None:
+def test_durations_and_sizes_read_back_unchanged(duration: float, size: int) -> None:
     for kind, value in ((Seconds, duration), (Size, size)):
         assert decode(kind, encode(kind(value))) == value
 
@@ -326,13 +326,13 @@
 # Terms
 
 
-def book(text: str, path: Path) -> tuple[Plan, Book]:
+def load_with_registry(text: str, path: Path) -> tuple[Plan, Book]:
     path.write_text(BASE + text)
     plan = load(str(path)).plan
     return plan, Book(plan, sockets=True)
 
 
-def test_the_narrower_entry_wins_and_an_entry_naming_both_settles_a_conflict(tmp_path: Path) -> None:
+def test_the_narrower_entry_wins_and_an_entry_that_names_both_resolves_a_conflict(tmp_path: Path) -> None:
     text = """
 [[terms]]
 time_out = "5s"
@@ -355,7 +355,7 @@
 """
     from laureldock.sources.listed import entries
 
-    plan, terms = book(text, tmp_path / "laureldock.toml")
+    plan, terms = load_with_registry(text, tmp_path / "laureldock.toml")
     routes = {route.name: route for route in terms.listed([entry for entry, _ in entries(plan)], True)}
     names = {kind: name for name, kind in terms.classes.items()}
     found = {
@@ -375,7 +375,7 @@
 
 def test_a_reload_may_change_terms_and_endpoints_and_nothing_else(tmp_path: Path) -> None:
     path = tmp_path / "laureldock.toml"
-    plan, _ = book("", path)
+    plan, _ = load_with_registry("", path)
     free = BASE.replace("window = 4", "window = 5").replace("9002", "9003")
     free = free.replace('effect = "once-only"', 'effect = "once-only"\nimportance = 7.0')
     path.write_text('log = {level = "debug"}\n' + free + '[[terms]]\nclass = "news"\nconnects = 2\n')
@@ -396,16 +396,16 @@
 
 
 def test_the_example_file_is_the_documented_default() -> None:
-    """What it shows as commented defaults is what holds without them."""
+    """The commented settings of the example show the defaults."""
     text = files("laureldock.setup").joinpath("example.toml").read_text()
     commented = [line[2:].split("#")[0].strip() for line in text.splitlines() if line.startswith("# ")]
     limits = msgspec.to_builtins(model.Limits(), enc_hook=encode)
     pairs = [line.split(" = ") for line in commented if " = " in line]
-    told = {name: json.loads(value) for name, value in pairs if name in limits}
-    assert len(told) >= 6 and all(limits[name] == value for name, value in told.items())
+    shown_defaults = {name: json.loads(value) for name, value in pairs if name in limits}
+    assert len(shown_defaults) >= 6 and all(limits[name] == value for name, value in shown_defaults.items())
 
 
-# Files without entries: a controller's, and those of dispatchers that follow one
+# Files without entries: those of a controller and of dispatchers that follow it
 
 ENTRIES = BASE.index("[destination.north]")
 FOLLOWING = '[source]\nkind = "controller"\ncontrollers = ["127.0.0.1:7000"]\n'
@@ -413,7 +413,7 @@
 
 
 @pytest.mark.parametrize("text", [BASE[:ENTRIES] + FOLLOWING, "front = []\n" + BASE[:ENTRIES] + CONTROLLER])
-def test_a_file_whose_entries_come_by_changes_has_none(tmp_path: Path, text: str) -> None:
+def test_a_file_with_a_controller_has_no_entries(tmp_path: Path, text: str) -> None:
     path = tmp_path / "laureldock.toml"
     assert faults(path, text) == []
     entries = BASE[ENTRIES:] + '[[terms]]\nclass = "news"\nconnects = 2\n[customer.x]\nquota = 1.0\n'
@@ -433,14 +433,12 @@
         (BASE[:ENTRIES] + CONTROLLER.replace("7000", ""), "controller.listen"),
     ],
 )
-def test_controllers_are_named_where_they_are_followed_and_only_there(
-    tmp_path: Path, text: str, place: str
-) -> None:
+def test_controllers_are_named_only_by_a_controller_source(tmp_path: Path, text: str, place: str) -> None:
     assert any(f": {place}" in fault for fault in faults(tmp_path / "laureldock.toml", text))
 
 
-def test_a_reload_takes_customers_over_and_an_endpoint_of_another_zone_anew(tmp_path: Path) -> None:
-    """Neither was taken before, and both ways to one configuration have to meet."""
+def test_a_reload_applies_customers_and_recreates_an_endpoint_of_another_zone(tmp_path: Path) -> None:
+    """Earlier, a reload ignored both, and led to another state than a controller's changes."""
     from assembled import Assembled
 
     path = tmp_path / "laureldock.toml"
@@ -448,12 +446,12 @@
     path.write_text(BASE + customers.format(quota=1.0))
     dispatcher = Assembled(load(str(path)).plan, tmp_path / "state")
     try:
-        book = dispatcher.core.book
-        kept, route = book.customers["kept"], book.routes["s1"]
+        registry = dispatcher.core.book
+        kept, route = registry.customers["kept"], registry.routes["s1"]
         path.write_text(BASE + 'zone = "b"\n' + customers.format(quota=3.0))
         dispatcher.reloaded(load(str(path)).plan)
-        assert book.customers["kept"] is kept and book.customers["other"].quota == 3.0
-        assert book.routes["s1"].zone == "b" and route.listed.value == "removed"
+        assert registry.customers["kept"] is kept and registry.customers["other"].quota == 3.0
+        assert registry.routes["s1"].zone == "b" and route.listed.value == "removed"
         assert not dispatcher.core.counters["configurations refused"]
     finally:
         dispatcher.close()
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""Precedence of settings, against what it means: an entry beats another if it covers less of the same."""
+"""Precedence of settings, against its definition: an entry overrides another if it covers a proper subset."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 CLASSES = ("a", "b")
 KINDS = {"k1": ("d1", "d2"), "k2": ("d3", "d4")}
-OWNERS = {destination: kind for kind, owned in KINDS.items() for destination in owned}
-ROUTES = {f"{destination}/{number}": destination for destination in OWNERS for number in (1, 2)}
+KIND_OF = {destination: kind for kind, owned in KINDS.items() for destination in owned}
+ROUTES = {f"{destination}/{number}": destination for destination in KIND_OF for number in (1, 2)}
 CELLS = frozenset(product(CLASSES, ROUTES))
 
 
-class Written(NamedTuple):
+class SetTerm(NamedTuple):
     queue_class: str
     scope: Scope
     value: int
@@ -25,55 +25,62 @@
     def covers(self) -> frozenset[tuple[str, str]]:
         level, name = self.scope
         names = {
-            route: {Level.ANY: "", Level.KIND: OWNERS[owner], Level.DESTINATION: owner, Level.ROUTE: route}
-            for route, owner in ROUTES.items()
+            route: {
+                Level.ANY: "",
+                Level.KIND: KIND_OF[destination],
+                Level.DESTINATION: destination,
+                Level.ROUTE: route,
+            }
+            for route, destination in ROUTES.items()
         }
         return frozenset(
-            (sort, route)
-            for sort, route in CELLS
-            if self.queue_class in ("", sort) and names[route][level] == name
+            (queue_class, route)
+            for queue_class, route in CELLS
+            if self.queue_class in ("", queue_class) and names[route][level] == name
         )
 
 
-places = st.one_of(
+scopes = st.one_of(
     st.just(EVERYWHERE),
     *(
         st.tuples(st.just(level), st.sampled_from(sorted(names)))
-        for level, names in ((Level.KIND, KINDS), (Level.DESTINATION, OWNERS), (Level.ROUTE, ROUTES))
+        for level, names in ((Level.KIND, KINDS), (Level.DESTINATION, KIND_OF), (Level.ROUTE, ROUTES))
     ),
 )
-entries = st.builds(Written, st.sampled_from(["", *CLASSES]), places, st.integers(1, 3))
+entries = st.builds(SetTerm, st.sampled_from(["", *CLASSES]), scopes, st.integers(1, 3))
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(entries, max_size=8))
-def test_what_holds_is_what_covers_least_and_what_cannot_be_told_is_a_conflict(
-    written: list[Written],
+def test_the_narrowest_setting_is_in_force_and_an_ambiguous_one_is_a_conflict(
+    entered: list[SetTerm],
 ) -> None:
-    book = TermsIndex()
-    for place, each in enumerate(written):
-        assert book.add("time_out", each.value, ("terms", place), each.queue_class, each.scope) is None
-    for sort, route in CELLS:
+    index = TermsIndex()
+    for place, each in enumerate(entered):
+        assert index.add("time_out", each.value, ("terms", place), each.queue_class, each.scope) is None
+    for queue_class, route in CELLS:
         destination = ROUTES[route]
         where: list[Scope] = [
-            (Level.KIND, OWNERS[destination]), (Level.DESTINATION, destination), (Level.ROUTE, route)
+            (Level.KIND, KIND_OF[destination]), (Level.DESTINATION, destination), (Level.ROUTE, route)
         ]  # fmt: skip
-        fit = [each for each in written if (sort, route) in each.covers()]
-        least = {each.value for each in fit if not any(other.covers() < each.covers() for other in fit)}
-        conflicts = list(book.conflicts(sort, where))
-        assert bool(conflicts) == (len(least) > 1)
-        if len(least) <= 1:
-            assert book.value("time_out", sort, where, None) == next(iter(least), None)
+        matching = [each for each in entered if (queue_class, route) in each.covers()]
+        narrowest = {
+            each.value for each in matching if not any(other.covers() < each.covers() for other in matching)
+        }
+        conflicts = list(index.conflicts(queue_class, where))
+        assert bool(conflicts) == (len(narrowest) > 1)
+        if len(narrowest) <= 1:
+            assert index.value("time_out", queue_class, where, None) == next(iter(narrowest), None)
         else:
             assert all(fault.also and fault.path != fault.also for fault in conflicts)
 
 
-def test_a_setting_stands_only_where_it_can_be_told() -> None:
-    book = TermsIndex()
+def test_a_setting_is_accepted_only_in_its_allowed_scopes() -> None:
+    index = TermsIndex()
     for setting, queue_class, scope in (
         ("window", "a", (Level.DESTINATION, "d1")), ("window", "", EVERYWHERE),
         ("connects", "", (Level.ROUTE, "d1/1")), ("retry_after", "a", (Level.ROUTE, "d1/1")),
     ):  # fmt: skip
-        fault = book.add(setting, 1, ("terms", 0, setting), queue_class, scope)
+        fault = index.add(setting, 1, ("terms", 0, setting), queue_class, scope)
         assert fault and setting in fault.reason and fault.allowed
-    assert not book.settings
+    assert not index.settings
