--- a/laureldock/cli/controller.py
+++ b/laureldock/cli/controller.py
@@ -46,7 +46,7 @@
         service.start()
     except RefusedChangeError as refused_state:
         faults = [LocatedFault(f"{file}: state", 0, fault) for fault in refused_state.faults]
-        click.echo("the accepted entries contradict this file:", err=True)
+        click.echo("the accepted configuration does not fit this file any more:", err=True)
         exit_with_faults(RefusedError(faults))
     except (SpoiltLogError, CannotListenError, OSError, ValueError) as fault:
         raise click.ClickException(f"cannot start: {type(fault).__name__}: {fault}") from None
--- a/laureldock/cli/fleet.py
+++ b/laureldock/cli/fleet.py
@@ -112,4 +112,4 @@
 def forget(name: str, address: str) -> None:
     """Mark the failed member NAME as left, through the dispatcher at ADDRESS; it will not return."""
     query(address, f"/_fleet/forget/{urllib.parse.quote(name, safe='')}", "PUT")
-    click.echo(f"{name} is marked as left")
+    click.echo(f"{name} is held to have left")
--- a/laureldock/setup/rules.py
+++ b/laureldock/setup/rules.py
@@ -76,7 +76,7 @@
         path, allowed = ("limits", "connects"), f"{bounds.connects} or fewer"
         yield Fault(path, f"{limits.connects} connects for a mail are more than the rules allow", allowed)
     if limits.copies and not bounds.copies:
-        yield Fault(("limits", "copies"), "two connects of a mail out at once are barred here", "false")
+        yield Fault(("limits", "copies"), "two attempts of a message at once are not allowed here", "false")
     if limits.key_rest < bounds.key_rest:
         reason = (
             f"a key rests for {encode(limits.key_rest)}, and a connect that may still run could be overtaken"
