--- a/laureldock/setup/rules.py
+++ b/laureldock/setup/rules.py
@@ -140,7 +140,7 @@
 
 
 def entry_tables(plan: Plan) -> dict[str, Collection[object]]:
-    """The tables that a controller's changes replace, apart from queue classes."""
+    """The tables whose entries a controller's changes contain, apart from queue classes."""
     return {
         "endpoint": plan.endpoints,
         "destination": plan.destinations,
