--- a/benchmarks/slopes/process.py
+++ b/benchmarks/slopes/process.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from laureldock.cli.info import figures
+from laureldock.cli.info import read_counters
 
 START_TIMEOUT = 300.0  # seconds
 WAIT_TIMEOUT = 300.0  # seconds that a change or a load may take
@@ -145,7 +145,7 @@
         """A counter from INFO; retries while a long step keeps the dispatcher from replying."""
         for _ in range(MAX_REQUESTS):
             with contextlib.suppress(OSError, ValueError):
-                return int(figures(f"127.0.0.1:{self.port}").get(name, 0))
+                return int(read_counters(f"127.0.0.1:{self.port}").get(name, 0))
         raise RuntimeError("the dispatcher does not reply")
 
     def wait_until_idle(self) -> float:
--- a/laureldock/benchlink/instance.py
+++ b/laureldock/benchlink/instance.py
@@ -11,7 +11,7 @@
 from laureldock import interface
 from laureldock.delivery_policy import DeliveryPolicy
 from laureldock.delivery_settings import DeliveryRegistry, ListedEndpoint
-from laureldock.setup.platform import NS, Fields, of_profile
+from laureldock.setup.platform import NS, Fields, plan_from_profile
 
 ENDINGS = {
     "ok": interface.AttemptResult.SERVED,
@@ -48,7 +48,7 @@
 class Instance:
     def __init__(self, number: int, seed: int, profile: Fields, now: float) -> None:
         self.number = number
-        self.book = DeliveryRegistry(of_profile(seed, profile, False))
+        self.book = DeliveryRegistry(plan_from_profile(seed, profile, False))
         self.by_id: dict[str, Held] = {}
         self.by_mail: dict[interface.Message, Held] = {}
         self.leaving: list[Held] = []
--- a/laureldock/setup/catalog.py
+++ b/laureldock/setup/catalog.py
@@ -1,7 +1,8 @@
 """All entries of a configuration that is changed entry by entry. No I/O, no clock.
 
-A change is checked by the rules of a whole file and applied whole or not at all, at a cost of what it names
-and what that selects, whatever else is held. docs/design/configuration-changes.md says how.
+A change is checked by the same rules as a file and applied as a whole or not at all. Its cost depends on the
+entries that it names and the places that they select, not on the size of the catalog. See
+docs/design/configuration-changes.md.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
     Groups,
     PlaceIndex,
     PlaceState,
-    put_in,
-    take_out,
+    add_to_group,
+    remove_from_group,
 )
-from laureldock.setup.catalog_rules import Touched, duplicates, faults_of, misnamed
+from laureldock.setup.catalog_rules import AffectedPlaces, duplicates, faults_of, misnamed_entries
 from laureldock.setup.changes import (
     CatalogEntry,
     Change,
@@ -36,19 +37,19 @@
     entry_digest,
 )
 from laureldock.setup.entries import (
+    add_settings,
     class_pairs,
     destination_pairs,
     endpoint_pairs,
-    enter,
+    index_terms,
     kind_of,
-    named,
+    remove_settings,
+    selected_scopes,
     settings_of,
-    term_book,
-    withdraw,
 )
 from laureldock.setup.faults import Fault, Path
 from laureldock.setup.rules import Bounds
-from laureldock.setup.terms import Level, Spot, TermBook
+from laureldock.setup.terms import Level, Scope, TermsIndex
 
 ENTRY_TYPES: dict[EntryKind, Any] = {
     EntryKind.ENDPOINT: EndpointEntry,
@@ -57,14 +58,14 @@
     EntryKind.CUSTOMER: CustomerEntry,
     EntryKind.CLASS: ClassEntry,
 }
-# Entries to be put, or None where they are removed.
-Values = Mapping[EntryKey, CatalogEntry | None]
+# The new entry for each key, or None to remove it.
+EntryValues = Mapping[EntryKey, CatalogEntry | None]
 
 
 class RefusedChangeError(ValueError):
-    """A change that is not taken, with all that is wrong with it. Nothing has changed.
+    """A change that was refused, with all its faults; the catalog is unchanged.
 
-    A fault's path is (kind, name, field...) of an entry, or (table, name, field...) of the base.
+    The path of a fault is (kind, name, field...) of an entry, or (table, name, field...) of the base.
     """
 
     def __init__(self, faults: list[Fault]) -> None:
@@ -87,22 +88,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """Settings that hold anew, or no more, for a queue class ("": all) at a place."""
+    """Settings added, changed or removed for a queue class ("": all) in a scope."""
 
     queue_class: str
-    spot: Spot
+    scope: Scope
     settings: frozenset[str]
 
 
 @dataclass(slots=True)
 class AppliedChange:
-    """What a change touched: what is equal to what was held is not told."""
+    """The parts of the catalog that a change affected; entries put with an equal value are left out."""
 
     endpoints_put: list[EndpointPut] = field(default_factory=list)
     endpoints_removed: list[EndpointRemoved] = field(default_factory=list)
-    destinations: list[str] = field(default_factory=list)  # their kind or settings
-    rekinded: list[str] = field(default_factory=list)  # those of them whose kind is another
-    selections: list[Selection] = field(default_factory=list)  # by [[terms]] and queue classes
+    destinations: list[str] = field(default_factory=list)  # with another kind or other settings
+    kind_changed: list[str] = field(default_factory=list)  # those of them with another kind
+    selections: list[Selection] = field(default_factory=list)  # of [[terms]] and queue classes
     classes: list[str] = field(default_factory=list)
     customers: list[str] = field(default_factory=list)
 
@@ -111,33 +112,34 @@
 
 
 class Catalog:
-    """Entries above a base: the dispatcher's or controller's file, which holds none itself.
+    """Entries on top of a base, which is the dispatcher's or controller's file and has no entries itself.
 
-    `live` is the base with the destinations, customers and queue classes in force (not endpoints and terms:
-    those are `plan()`'s); with `term_book` it is what a dispatcher looks up, kept up in place.
+    `in_force` is the base with the current destinations, customers and queue classes, but without endpoints
+    and terms, which only `plan()` has. Dispatchers look settings up in it and in `terms_index`; both are
+    updated in place.
     """
 
     def __init__(self, base: model.Plan, bounds: Bounds | None = None) -> None:
         self.base, self.bounds = base, bounds or Bounds()
-        self.live = structs.replace(
+        self.in_force = structs.replace(
             base, destinations={}, customers={}, classes=dict(base.classes), endpoints=[], terms=[]
         )
-        self.term_book: TermBook = term_book(self.live)[0]
+        self.terms_index: TermsIndex = index_terms(self.in_force)[0]
         self.digest = 0
         self.endpoints: dict[str, model.Endpoint] = {}
         self.terms: dict[str, model.Entry] = {}
         self._classes: dict[str, ClassSettings] = {}
         self._held: dict[EntryKind, dict[str, Any]] = {
             EntryKind.ENDPOINT: self.endpoints,
-            EntryKind.DESTINATION: self.live.destinations,
+            EntryKind.DESTINATION: self.in_force.destinations,
             EntryKind.TERMS: self.terms,
-            EntryKind.CUSTOMER: self.live.customers,
+            EntryKind.CUSTOMER: self.in_force.customers,
             EntryKind.CLASS: self._classes,
         }
         self.endpoint_names: Groups[str, str] = {}  # by destination
         self.addresses = AddressIndex()
         self.places = PlaceIndex()
-        self.terms_naming: Groups[Spot, str] = {}  # names of terms by each destination and route they name
+        self.terms_by_scope: Groups[Scope, str] = {}  # names of terms by destination and route
 
     def __len__(self) -> int:
         return sum(map(len, self._held.values()))
@@ -147,33 +149,33 @@
         return None if value is None else self._entry(key, value)
 
     def entries(self) -> Iterator[CatalogEntry]:
-        """In the order of their keys: by kind and name."""
+        """All entries, ordered by kind and name."""
         for kind in sorted(self._held):
             held = self._held[kind]
             for name in sorted(held):
                 yield ENTRY_TYPES[kind](name, held[name])
 
     def plan(self) -> model.Plan:
-        """The whole file that means the same."""
+        """The plan of an equivalent file."""
         return structs.replace(
-            self.live,
+            self.in_force,
             source=model.Source(),
             controller=None,
-            destinations=dict(self.live.destinations),
-            customers=dict(self.live.customers),
-            classes=dict(self.live.classes),
+            destinations=dict(self.in_force.destinations),
+            customers=dict(self.in_force.customers),
+            classes=dict(self.in_force.classes),
             endpoints=[self.endpoints[name] for name in sorted(self.endpoints)],
             terms=[self.terms[name] for name in sorted(self.terms)],
         )
 
     def apply(self, change: Change, *, missing_ok: bool = False) -> AppliedChange:
-        """Put and remove, whole or not at all. RefusedChangeError.
+        """Apply a change as a whole, or raise RefusedChangeError and change nothing.
 
-        `missing_ok`: what is to be removed need not be held. A controller refuses that, since a name may be
+        `missing_ok`: removals of missing entries are ignored. A controller refuses them, since a name may be
         mistyped; a dispatcher that follows it may have refused the change that put the entry.
         """
         keys = [*(entry.key for entry in change.puts), *change.removals]
-        faults = [*duplicates(keys), *misnamed(change.puts)]
+        faults = [*duplicates(keys), *misnamed_entries(change.puts)]
         values: dict[EntryKey, CatalogEntry | None] = {entry.key: entry for entry in change.puts}
         for key in change.removals:
             if self.get(key) is not None:
@@ -183,24 +185,24 @@
         return self._commit(values, faults)
 
     def replace(self, entries: Iterable[CatalogEntry]) -> AppliedChange:
-        """All entries anew: what differs is applied as one change. RefusedChangeError."""
-        told = list(entries)
-        values: dict[EntryKey, CatalogEntry | None] = {entry.key: entry for entry in told}
-        faults = [*duplicates([entry.key for entry in told]), *misnamed(told)]
+        """Replace all entries; the differences are applied as one change. Raises RefusedChangeError."""
+        given = list(entries)
+        values: dict[EntryKey, CatalogEntry | None] = {entry.key: entry for entry in given}
+        faults = [*duplicates([entry.key for entry in given]), *misnamed_entries(given)]
         for kind, held in self._held.items():
             for name in held:
                 values.setdefault(EntryKey(kind, name), None)
         return self._commit(values, faults)
 
-    # How a change is made
+    # Steps of a change
 
-    def _commit(self, told: Values, faults: list[Fault]) -> AppliedChange:
-        values = {key: entry for key, entry in told.items() if not self._holds(key, entry)}
+    def _commit(self, given: EntryValues, faults: list[Fault]) -> AppliedChange:
+        values = {key: entry for key, entry in given.items() if not self._holds(key, entry)}
         before = {key: self.get(key) for key in values}
-        touched = self._exchange(values, faults)
-        faults = faults_of(self, values, touched, faults)
+        affected = self._swap(values, faults)
+        faults = faults_of(self, values, affected, faults)
         if faults:
-            self._exchange(before, [])
+            self._swap(before, [])
             raise RefusedChangeError(faults)
         return applied(values, before)
 
@@ -208,69 +210,71 @@
         value = self._held[key.kind].get(key.name)
         return bool(value is None if entry is None else value == entry.value)
 
-    def _exchange(self, values: Values, faults: list[Fault]) -> Touched:
-        """Put and remove unchecked; called with what was held before, it undoes that.
+    def _swap(self, values: EntryValues, faults: list[Fault]) -> AffectedPlaces:
+        """Put and remove entries without checks. A second call with the previous entries undoes the first.
 
-        Faults of settings that cannot stand where they do are added to those handed in.
+        Faults of settings that are not allowed where they stand are appended to `faults`.
         """
-        touched = self._touched(values)
-        before = self._states(touched)
+        affected = self._affected(values)
+        before = self._states(affected)
         for key, entry in values.items():
             self._set(key, entry, faults)
-        for old, new in zip(before, self._states(touched), strict=True):
+        for old, new in zip(before, self._states(affected), strict=True):
             if old != new:
                 self.places.move(old, new)
-        return touched
+        return affected
 
-    def _states(self, touched: Touched) -> list[PlaceState | None]:
+    def _states(self, affected: AffectedPlaces) -> list[PlaceState | None]:
         return [
-            *map(self.destination_state, touched.destinations),
-            *map(self.route_state, touched.routes),
+            *map(self.destination_state, affected.destinations),
+            *map(self.route_state, affected.routes),
         ]
 
-    def _touched(self, values: Values) -> Touched:
-        """Before it is made: what the change names, what that selects, and what it did name."""
-        touched = Touched()
+    def _affected(self, values: EntryValues) -> AffectedPlaces:
+        """The places that a change affects, by its new and its previous entries. Called before it is made."""
+        affected = AffectedPlaces()
         for key, entry in values.items():
             value = None if entry is None else entry.value
             for each in (self._held[key.kind].get(key.name), value):
                 if isinstance(each, model.Endpoint):
-                    touched.destinations[each.destination] = (str(key.kind), key.name)
-                    touched.routes[key.name] = (str(key.kind), key.name)
+                    affected.destinations[each.destination] = (str(key.kind), key.name)
+                    affected.routes[key.name] = (str(key.kind), key.name)
                 elif isinstance(each, model.Entry):
-                    for queue_class, spot in named(each):
-                        touched.select(queue_class, spot)
+                    for queue_class, scope in selected_scopes(each):
+                        affected.select(queue_class, scope)
             if key.kind is EntryKind.DESTINATION:
-                touched.select("", (Level.DESTINATION, key.name))
+                affected.select("", (Level.DESTINATION, key.name))
             elif key.kind is EntryKind.CLASS and key.name in self.base.classes:
-                touched.select(key.name, class_pairs(key.name)[0][1])
-        for destination in touched.selected_destinations:
+                affected.select(key.name, class_pairs(key.name)[0][1])
+        for destination in affected.selected_destinations:
             for route in self.places.own_routes(destination):
-                touched.routes.setdefault(route)
-        return touched
+                affected.routes.setdefault(route)
+        return affected
 
     def destination_state(self, destination: str) -> PlaceState | None:
-        """None while nothing is listed there."""
-        if destination not in self.endpoint_names and destination not in self.live.destinations:
+        """None if the destination has no endpoint and no entry."""
+        if destination not in self.endpoint_names and destination not in self.in_force.destinations:
             return None
-        own = self.term_book.set_at((Level.DESTINATION, destination))
-        return PlaceState((destination, ""), kind_of(self.live, destination), own)
+        own = self.terms_index.own_settings((Level.DESTINATION, destination))
+        return PlaceState((destination, ""), kind_of(self.in_force, destination), own)
 
     def route_state(self, route: str) -> PlaceState | None:
-        """None if it is not listed, or has no settings of its own."""
+        """None if the route is not listed or has no settings of its own."""
         endpoint = self.endpoints.get(route)
-        own = self.term_book.set_at((Level.ROUTE, route))
+        own = self.terms_index.own_settings((Level.ROUTE, route))
         if endpoint is None or not own:
             return None
         destination = endpoint.destination
-        at_destination = self.term_book.set_at((Level.DESTINATION, destination))
-        return PlaceState((destination, route), kind_of(self.live, destination), at_destination, own)
+        destination_settings = self.terms_index.own_settings((Level.DESTINATION, destination))
+        return PlaceState(
+            (destination, route), kind_of(self.in_force, destination), destination_settings, own
+        )
 
     def _set(self, key: EntryKey, entry: CatalogEntry | None, faults: list[Fault]) -> None:
         held = self._held[key.kind]
         before = held.get(key.name)
         path: Path = (str(key.kind), key.name)
-        owner_before = self._settings(key, before)
+        settings_before = self._settings(key, before)
         if before is not None:
             self.digest ^= entry_digest(self._entry(key, before))
         if entry is None:
@@ -281,17 +285,17 @@
         if key.kind is EntryKind.ENDPOINT:
             self._move_endpoint(key.name, before, held.get(key.name))
         elif key.kind is EntryKind.TERMS:
-            self._rename_terms(key.name, before, held.get(key.name))
-        owner_after = self._settings(key, held.get(key.name))
-        if key.kind is EntryKind.CLASS and owner_after is not None:
-            self.live.classes[key.name] = owner_after  # type: ignore[assignment]
-        if owner_before is not None:
-            withdraw(self.term_book, owner_before, path, self._pairs(key, owner_before))
-        if owner_after is not None:
-            faults += enter(self.term_book, owner_after, path, self._pairs(key, owner_after))
+            self._move_terms(key.name, before, held.get(key.name))
+        settings_after = self._settings(key, held.get(key.name))
+        if key.kind is EntryKind.CLASS and settings_after is not None:
+            self.in_force.classes[key.name] = settings_after  # type: ignore[assignment]
+        if settings_before is not None:
+            remove_settings(self.terms_index, settings_before, path, self._pairs(key, settings_before))
+        if settings_after is not None:
+            faults += add_settings(self.terms_index, settings_after, path, self._pairs(key, settings_after))
 
     def _settings(self, key: EntryKey, value: Any) -> model.Terms | None:
-        """What holds settings by that key: of a queue class the base's, with the entry above it."""
+        """The table with the settings of that key; for a queue class the base's, overridden by the entry."""
         if key.kind is EntryKind.CLASS:
             base = self.base.classes.get(key.name)
             if base is None or value is None:
@@ -300,9 +304,9 @@
         return value if isinstance(value, model.Terms) else None
 
     @staticmethod
-    def _pairs(key: EntryKey, owner: model.Terms) -> list[tuple[str, Spot]]:
-        if isinstance(owner, model.Entry):
-            return list(named(owner))
+    def _pairs(key: EntryKey, table: model.Terms) -> list[tuple[str, Scope]]:
+        if isinstance(table, model.Entry):
+            return list(selected_scopes(table))
         pairs = {
             EntryKind.CLASS: class_pairs,
             EntryKind.DESTINATION: destination_pairs,
@@ -311,23 +315,23 @@
         return pairs[key.kind](key.name)
 
     def _move_endpoint(self, name: str, before: model.Endpoint | None, after: model.Endpoint | None) -> None:
-        """In the indexes by destination and address; nothing is touched where it stays."""
+        """Update the indexes by destination and by address."""
         stays = before is not None and after is not None and before.destination == after.destination
         if before is not None and not stays:
-            take_out(self.endpoint_names, before.destination, name)
+            remove_from_group(self.endpoint_names, before.destination, name)
         if after is not None and not stays:
-            put_in(self.endpoint_names, after.destination, name)
+            add_to_group(self.endpoint_names, after.destination, name)
         if before is not None:
             self.addresses.discard(before.destination, before.address, name)
         if after is not None:
             self.addresses.add(after.destination, after.address, name)
 
-    def _rename_terms(self, name: str, before: model.Entry | None, after: model.Entry | None) -> None:
-        """In the index by what they name."""
-        for entry, change in ((before, take_out), (after, put_in)):
-            for _, spot in named(entry) if entry is not None else ():
-                if spot[0] >= Level.DESTINATION:
-                    change(self.terms_naming, spot, name)
+    def _move_terms(self, name: str, before: model.Entry | None, after: model.Entry | None) -> None:
+        """Update the index of terms by the scopes that they name."""
+        for entry, change in ((before, remove_from_group), (after, add_to_group)):
+            for _, scope in selected_scopes(entry) if entry is not None else ():
+                if scope[0] >= Level.DESTINATION:
+                    change(self.terms_by_scope, scope, name)
 
     @staticmethod
     def _entry(key: EntryKey, value: Any) -> CatalogEntry:
@@ -335,13 +339,13 @@
         return entry
 
 
-def applied(values: Values, before: Values) -> AppliedChange:
-    """What the exchange of one for the other touched."""
+def applied(values: EntryValues, before: EntryValues) -> AppliedChange:
+    """The parts affected when the entries `before` are replaced by `values`."""
     found = AppliedChange()
     for key, entry in values.items():
         old = before[key]
-        some = entry or old
-        match some:
+        known = entry or old
+        match known:
             case EndpointEntry(name):
                 endpoint = old.value if isinstance(old, EndpointEntry) else None
                 if isinstance(entry, EndpointEntry):
@@ -354,7 +358,7 @@
                     each.value.kind if isinstance(each, DestinationEntry) else None for each in (old, entry)
                 }
                 if len(kinds) > 1:
-                    found.rekinded.append(name)
+                    found.kind_changed.append(name)
             case TermsEntry():
                 found.selections += selections(old, entry)
             case CustomerEntry(name):
@@ -366,12 +370,14 @@
 
 
 def selections(before: CatalogEntry | None, after: CatalogEntry | None) -> Iterator[Selection]:
-    """Of one entry, as it was and as it is: each place once."""
-    found: dict[tuple[str, Spot], frozenset[str]] = {}
+    """Selections of one entry, old and new together; each queue class and scope once."""
+    found: dict[tuple[str, Scope], frozenset[str]] = {}
     for entry in (before, after):
         if isinstance(entry, TermsEntry | ClassEntry):
             settings = frozenset(setting for setting, _ in settings_of(entry.value))
-            for pair in class_pairs(entry.name) if isinstance(entry, ClassEntry) else named(entry.value):
+            for pair in (
+                class_pairs(entry.name) if isinstance(entry, ClassEntry) else selected_scopes(entry.value)
+            ):
                 found[pair] = found.get(pair, frozenset()) | settings
-    for (queue_class, spot), settings in found.items():
-        yield Selection(queue_class, spot, settings)
+    for (queue_class, scope), settings in found.items():
+        yield Selection(queue_class, scope, settings)
--- a/laureldock/setup/terms.py
+++ b/laureldock/setup/terms.py
@@ -1,9 +1,9 @@
-"""Which of the operators' settings holds for a mail at a destination, and for a route: no I/O, no chance.
+"""Which of the operators' settings is in force for a message at a destination, or for a route. No I/O.
 
-An entry names a queue class or none, and a place or none: a kind, a destination or a route, each narrower
-than the one before. One entry beats another if it is at least as narrow in both and narrower in one. Of those
-that fit and that no other beats, all must agree; two that do not are a fault, which an entry naming both
-settles.
+An entry may name a queue class, and a scope: a kind, a destination or a route, each narrower than the one
+before. One entry overrides another if it is at least as narrow in both and narrower in one. The matching
+entries that no other overrides must have the same value; otherwise it is a fault, which an entry that names
+both resolves.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Level(IntEnum):
-    """How narrow a place is."""
+    """How narrow a scope is."""
 
     ANY = 0
     KIND = 1
@@ -26,13 +26,14 @@
     ROUTE = 3
 
 
-# A place as it is looked up: how narrow, and its name.
-Spot = tuple[Level, str]
-ANYWHERE: Spot = (Level.ANY, "")
+# Where a setting applies: the level, and the name of the kind, destination or route.
+Scope = tuple[Level, str]
+EVERYWHERE: Scope = (Level.ANY, "")
 
-# Where each setting may stand: with a queue class named or not, and up to which place. A window is shared by
-# all classes; what counts for a mail before its route is drawn cannot depend on the route.
-MAY_STAND: dict[str, tuple[bool, Level, Level]] = {
+# Scopes allowed for each setting: whether it may name a queue class, the widest level, the narrowest level.
+# A window is shared by all queue classes. A setting that is needed before the route of a message is chosen
+# cannot depend on the route.
+ALLOWED_SCOPES: dict[str, tuple[bool, Level, Level]] = {
     "time_out": (True, Level.ANY, Level.ROUTE),
     "connects": (True, Level.ANY, Level.DESTINATION),
     "copies": (True, Level.ANY, Level.DESTINATION),
@@ -43,118 +44,118 @@
 }
 
 
-# What is set at one place: of each setting and queue class, the values.
-SetAt = tuple[tuple[str, str, tuple[Any, ...]], ...]
+# All that is set for one scope: settings, their queue classes, and their values.
+OwnSettings = tuple[tuple[str, str, tuple[Any, ...]], ...]
 
 Counted = TypeVar("Counted")
 
 
-def uncount(counts: Counter[Counted], item: Counted, times: int) -> None:
-    """Count it down, and leave no nought behind."""
+def decrement(counts: Counter[Counted], item: Counted, times: int) -> None:
+    """Subtract from a count, and remove it when it is zero."""
     counts[item] -= times
     if not counts[item]:
         del counts[item]
 
 
 @dataclass(frozen=True, slots=True)
-class Set:
-    """One setting of one entry."""
+class SetValue:
+    """The value of one setting of one entry."""
 
     value: Any
     path: Path = field(compare=False)
-    classed: bool
+    names_class: bool
     level: Level
 
-    def beats(self, other: Set) -> bool:
-        wider = other.classed <= self.classed and other.level <= self.level
-        return wider and (self.classed, self.level) != (other.classed, other.level)
+    def overrides(self, other: SetValue) -> bool:
+        as_narrow = other.names_class <= self.names_class and other.level <= self.level
+        return as_narrow and (self.names_class, self.level) != (other.names_class, other.level)
 
 
 @dataclass(slots=True)
-class TermBook:
-    """All entries, by setting and by what they name."""
+class TermsIndex:
+    """The settings of all entries, by setting, queue class and scope."""
 
-    entries: dict[tuple[str, str, Spot], list[Set]] = field(default_factory=dict)
+    entries: dict[tuple[str, str, Scope], list[SetValue]] = field(default_factory=dict)
     settings: Counter[str] = field(
         default_factory=Counter
-    )  # how often each is set; those never set are not in it
-    # Likewise, by place: each setting with the queue class that it is set for.
-    spots: dict[Spot, Counter[tuple[str, str]]] = field(default_factory=dict)
-
-    def add(self, setting: str, value: Any, path: Path, queue_class: str, spot: Spot) -> Fault | None:
-        """Enter it, or say why it cannot stand there."""
-        classes, least, most = MAY_STAND[setting]
-        if (queue_class and not classes) or not least <= spot[0] <= most:
-            names = [level.name.lower() for level in Level if least <= level <= most and level]
+    )  # how often each setting is set; without those never set
+    # How often each setting is set for each queue class, by scope.
+    scopes: dict[Scope, Counter[tuple[str, str]]] = field(default_factory=dict)
+
+    def add(self, setting: str, value: Any, path: Path, queue_class: str, scope: Scope) -> Fault | None:
+        """Add a setting; returns a fault if it is not allowed in that scope."""
+        by_class, widest, narrowest = ALLOWED_SCOPES[setting]
+        if (queue_class and not by_class) or not widest <= scope[0] <= narrowest:
+            names = [level.name.lower() for level in Level if widest <= level <= narrowest and level]
             reason = f"{setting} cannot be set for " + (
-                "a queue class" if queue_class and not classes else f"a {spot[0].name.lower()}" if spot[0]
+                "a queue class" if queue_class and not by_class else f"a {scope[0].name.lower()}" if scope[0]
                 else "all alike"
             )  # fmt: skip
-            return Fault(path, reason, "at a " + ", a ".join((["queue class"] if classes else []) + names))
-        found = self.entries.setdefault((setting, queue_class, spot), [])
-        found.append(Set(value, path, bool(queue_class), spot[0]))
+            return Fault(path, reason, "at a " + ", a ".join((["queue class"] if by_class else []) + names))
+        found = self.entries.setdefault((setting, queue_class, scope), [])
+        found.append(SetValue(value, path, bool(queue_class), scope[0]))
         self.settings[setting] += 1
-        self.spots.setdefault(spot, Counter())[setting, queue_class] += 1
+        self.scopes.setdefault(scope, Counter())[setting, queue_class] += 1
         return None
 
-    def remove(self, setting: str, path: Path, queue_class: str, spot: Spot) -> None:
-        """Take out what was added by that path, if it was."""
-        found = self.entries.get((setting, queue_class, spot), [])
+    def remove(self, setting: str, path: Path, queue_class: str, scope: Scope) -> None:
+        """Remove the settings that were added with that path, if any."""
+        found = self.entries.get((setting, queue_class, scope), [])
         kept = [each for each in found if each.path != path]
         removed = len(found) - len(kept)
         if not removed:
             return
         if kept:
-            self.entries[setting, queue_class, spot] = kept
+            self.entries[setting, queue_class, scope] = kept
         else:
-            del self.entries[setting, queue_class, spot]
-        uncount(self.settings, setting, removed)
-        uncount(self.spots[spot], (setting, queue_class), removed)
-        if not self.spots[spot]:
-            del self.spots[spot]
-
-    def fitting(self, setting: str, queue_class: str, spots: Sequence[Spot]) -> list[Set]:
-        """Those that fit and that no other beats."""
+            del self.entries[setting, queue_class, scope]
+        decrement(self.settings, setting, removed)
+        decrement(self.scopes[scope], (setting, queue_class), removed)
+        if not self.scopes[scope]:
+            del self.scopes[scope]
+
+    def most_specific(self, setting: str, queue_class: str, scopes: Sequence[Scope]) -> list[SetValue]:
+        """The matching values that no other overrides."""
         fit = [
             each
             for name in {"": None, queue_class: None}
-            for spot in (ANYWHERE, *spots)
-            for each in self.entries.get((setting, name, spot), ())
+            for scope in (EVERYWHERE, *scopes)
+            for each in self.entries.get((setting, name, scope), ())
         ]
-        return [each for each in fit if not any(other.beats(each) for other in fit)]
+        return [each for each in fit if not any(other.overrides(each) for other in fit)]
 
-    def value(self, setting: str, queue_class: str, spots: Sequence[Spot], otherwise: Any = None) -> Any:
-        """What holds there; `otherwise` if nothing was set."""
+    def value(self, setting: str, queue_class: str, scopes: Sequence[Scope], default: Any = None) -> Any:
+        """The value in force there; `default` if none is set."""
         if setting not in self.settings:
-            return otherwise
-        found = self.fitting(setting, queue_class, spots)
-        return found[0].value if found else otherwise
+            return default
+        found = self.most_specific(setting, queue_class, scopes)
+        return found[0].value if found else default
 
-    def conflicts(self, queue_class: str, spots: Sequence[Spot]) -> Iterator[Fault]:
-        """Settings on which two entries disagree there, though neither beats the other."""
-        for setting in MAY_STAND:
+    def conflicts(self, queue_class: str, scopes: Sequence[Scope]) -> Iterator[Fault]:
+        """Faults of settings with two different values there, of which neither overrides the other."""
+        for setting in ALLOWED_SCOPES:
             if setting in self.settings:
-                found = self.fitting(setting, queue_class, spots)
+                found = self.most_specific(setting, queue_class, scopes)
                 for other in found[1:]:
                     if other.value != found[0].value:
                         reason = f"{other.value!r} and {found[0].value!r} are equally specific"
                         allowed = "one value, or an entry in [[terms]] that names both"
                         yield Fault(other.path, reason, allowed, found[0].path)
 
-    def set_at(self, spot: Spot) -> SetAt:
-        """Places of one level that have the same here differ in nothing but their names."""
-        found = self.spots.get(spot)
+    def own_settings(self, scope: Scope) -> OwnSettings:
+        """The settings of this scope. Scopes of one level with equal results differ only in their names."""
+        found = self.scopes.get(scope)
         if not found:
             return ()
         return tuple(
             (
                 setting,
                 queue_class,
-                tuple(sorted(each.value for each in self.entries[setting, queue_class, spot])),
+                tuple(sorted(each.value for each in self.entries[setting, queue_class, scope])),
             )
             for setting, queue_class in sorted(found)
         )
 
-    def routes(self) -> set[str]:
-        """Names of routes that any entry names."""
-        return {name for level, name in self.spots if level is Level.ROUTE}
+    def route_names(self) -> set[str]:
+        """Names of the routes that an entry names."""
+        return {name for level, name in self.scopes if level is Level.ROUTE}
--- a/laureldock/sources/listed.py
+++ b/laureldock/sources/listed.py
@@ -8,7 +8,7 @@
 from laureldock import interface
 from laureldock.core.seams import News
 from laureldock.delivery_settings import ListedEndpoint
-from laureldock.setup.entries import kind_of, name_of, number_of
+from laureldock.setup.entries import destination_id, kind_of, name_of
 from laureldock.setup.plan import Endpoint, Plan
 
 Listing = dict[str, tuple[ListedEndpoint, str]]  # by name, each with where to dial
@@ -28,7 +28,7 @@
         name_of(each): (
             ListedEndpoint(
                 name_of(each),
-                number_of(each.destination),
+                destination_id(each.destination),
                 each.zone,
                 kind_of(plan, each.destination),
                 each.rate,
--- a/laureldock/sources/platform.py
+++ b/laureldock/sources/platform.py
@@ -11,7 +11,7 @@
 from laureldock.core.seams import News
 from laureldock.delivery_settings import ListedEndpoint
 from laureldock.interface import FetchList, ListedState
-from laureldock.setup.units import address
+from laureldock.setup.units import parse_address
 from laureldock.sockets.httpline import Asker, HttpLine
 from laureldock.wire.http1 import Headers
 
@@ -29,7 +29,7 @@
         seq, whole, hosts = news["seq"], news["whole"], news["hosts"]
         if not isinstance(seq, int) or not isinstance(whole, bool):
             raise ValueError("its version or kind is missing")
-        return seq, whole, [(entry(host), address(host["dial"])) for host in hosts]
+        return seq, whole, [(entry(host), parse_address(host["dial"])) for host in hosts]
     except (KeyError, TypeError, AttributeError, OverflowError) as fault:
         raise ValueError(f"not a list of hosts: {fault!r}") from None
 
--- a/tests/dock.py
+++ b/tests/dock.py
@@ -18,7 +18,7 @@
 from laureldock.assembly import Assembly
 from laureldock.delivery_policy import DeliveryPolicy
 from laureldock.interface import AttemptResult, RepeatSafety
-from laureldock.setup.platform import of_platform
+from laureldock.setup.platform import plan_from_platform
 
 TARIFF = interface.DeliverySettings(
     seed=7, instances=2, slots=8, room=40, max_attempts=4, may_cancel=True, may_probe=False, may_hedge=False,
@@ -220,7 +220,7 @@
         self.state.mkdir()
         all_told = {**told, "limits": limits, "known": self.hosts(routes), "settings": SETTINGS}
         config.write_text(json.dumps(all_told))
-        self.plan, _ = of_platform({"LB_CONFIG": str(config), "LB_STATE": str(self.state)})
+        self.plan, _ = plan_from_platform({"LB_CONFIG": str(config), "LB_STATE": str(self.state)})
         self.down: set[str] = set()  # receivers that refuse connections
         self.late: set[str] = set()  # those whose connections do not come up yet
         self.takes_notices = self.lists = True
