--- a/laureldock/benchlink/__init__.py
+++ b/laureldock/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire in front of the decisions. Decides nothing."""
+"""The adapter of the decisions to the simulator: JSON lines on pipes. Decides nothing."""
--- a/laureldock/benchlink/instance.py
+++ b/laureldock/benchlink/instance.py
@@ -1,4 +1,4 @@
-"""One instance: the wire's names and ids on one side, the decisions' objects on the other."""
+"""One simulated instance: names and ids of the wire on one side, objects of the decisions on the other."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from laureldock.delivery_settings import DeliveryRegistry, ListedEndpoint
 from laureldock.setup.platform import NS, Fields, of_profile
 
-ENDINGS = {
+RESULTS = {
     "ok": interface.AttemptResult.SERVED,
     "error": interface.AttemptResult.ERROR,
     "full": interface.AttemptResult.REFUSED,
@@ -23,7 +23,7 @@
     "cancelled": interface.AttemptResult.CANCELLED,
     "moot": interface.AttemptResult.MOOT,
 }
-LISTED = {
+LISTED_STATES = {
     "up": interface.ListedState.UP,
     "draining": interface.ListedState.DRAINING,
     "removed": interface.ListedState.REMOVED,
@@ -31,27 +31,30 @@
 
 
 def seconds(value: Any) -> float:
+    """Nanoseconds of the wire in seconds; 0 for none."""
     return float(value or 0) / NS
 
 
 @dataclass(eq=False, slots=True)
-class Held:
-    """A mail at the door: its id, its attempts by number, which of them are out, if an answer is owed."""
+class HeldMessage:
+    """A message as the wire knows it: its id, and its attempts by number."""
 
     op_id: str
-    mail: interface.Message
+    message: interface.Message
     attempts: list[interface.Attempt] = field(default_factory=list)
-    out: set[int] = field(default_factory=set)
-    owed: bool = True
+    in_flight: set[int] = field(default_factory=set)  # numbers of attempts without an outcome
+    pending: bool = True  # it has no final outcome yet
 
 
 class Instance:
+    """A dispatcher of the simulator. Its handlers carry the names of the wire's events."""
+
     def __init__(self, number: int, seed: int, profile: Fields, now: float) -> None:
         self.number = number
-        self.book = DeliveryRegistry(of_profile(seed, profile, False))
-        self.by_id: dict[str, Held] = {}
-        self.by_mail: dict[interface.Message, Held] = {}
-        self.leaving: list[Held] = []
+        self.registry = DeliveryRegistry(of_profile(seed, profile, False))
+        self.by_id: dict[str, HeldMessage] = {}
+        self.by_message: dict[interface.Message, HeldMessage] = {}
+        self.maybe_done: list[HeldMessage] = []
         self.fault: str | None = None
         self.handlers: dict[str, Callable[[float, Fields], None]] = {
             "arrival": self.arrival,
@@ -62,11 +65,11 @@
             "tick_due": self.tick_due,
             "under_way": self.under_way,
         }
-        self.control: DeliveryPolicy | None = None
-        self.guard(lambda: setattr(self, "control", DeliveryPolicy(self.book.settings, now)))
+        self.policy: DeliveryPolicy | None = None
+        self.guard(lambda: setattr(self, "policy", DeliveryPolicy(self.registry.settings, now)))
 
     def guard(self, call: Callable[[], Any]) -> Any:
-        """Run a call of the decisions; its exception becomes the wire's fault action."""
+        """Make a call of the decisions; its exception becomes the panic action of the wire."""
         if self.fault is None:
             try:
                 return call()
@@ -75,21 +78,23 @@
                 self.fault = f"{type(fault).__name__}: {fault} ({place.name}, line {place.lineno})"
         return None
 
-    def tell(self, name: str, *args: Any) -> None:
-        self.guard(lambda: getattr(self.control, name)(*args))
+    def call_policy(self, name: str, *args: Any) -> None:
+        """Call a method of `DeliveryPolicy` by name: the policy is missing where its start failed."""
+        self.guard(lambda: getattr(self.policy, name)(*args))
 
     def view(self, now: float, form: str, records: list[Fields]) -> None:
+        """Take in the endpoint list. ValueError: unknown form."""
         if form == "unavailable":
-            self.tell("list_failed", now)
+            self.call_policy("list_failed", now)
             return
         if form not in ("update", "replace", "restored"):
             raise ValueError(f"unknown form {form!r}")
-        whole = form != "update"
-        self.tell(
+        full = form != "update"
+        self.call_policy(
             "list_updated",
             now,
-            self.book.update_list([self.entry(record) for record in records], whole),
-            whole,
+            self.registry.update_list([self.entry(record) for record in records], full),
+            full,
         )
 
     def entry(self, record: Fields) -> ListedEndpoint:
@@ -99,86 +104,87 @@
             zone=str(record.get("dc")),
             kind=record["generation_hw"],
             listed_rate=float(record.get("weight") or 0),
-            listed_state=LISTED[record["health"]],
+            listed_state=LISTED_STATES[record["health"]],
         )
 
     def arrival(self, now: float, fields: Fields) -> None:
-        mail = interface.Message(
-            queue_class=self.book.classes[fields["band"]],
-            destination=self.book.destination(fields["addressee_no"]),
+        message = interface.Message(
+            queue_class=self.registry.classes[fields["band"]],
+            destination=self.registry.destination(fields["addressee_no"]),
             time_left=seconds(fields["expires_in_ns"]),
-            customer=self.book.customers.get(fields.get("realm") or ""),
+            customer=self.registry.customers.get(fields.get("realm") or ""),
             key=fields.get("resource"),
         )
-        self.by_id[fields["op_id"]] = self.by_mail[mail] = Held(fields["op_id"], mail)
-        self.tell("message_accepted", now, mail)
+        self.by_id[fields["op_id"]] = self.by_message[message] = HeldMessage(fields["op_id"], message)
+        self.call_policy("message_accepted", now, message)
 
     def outcome(self, fields: Fields) -> interface.Outcome:
-        ending = ENDINGS[fields["ending"]]
-        wait = (fields.get("hold_ms") or 0) / 1000 if ending is interface.AttemptResult.REFUSED else 0.0
-        told = dict(zip(self.book.report_fields, fields.get("stats") or [], strict=False))
-        took, finished = seconds(fields["latency_ns"]), bool(fields.get("closed"))
-        return interface.Outcome(ending, took, finished, wait, told.get("x1"), told.get("x0", 1.0))
+        result = RESULTS[fields["ending"]]
+        wait = (fields.get("hold_ms") or 0) / 1000 if result is interface.AttemptResult.REFUSED else 0.0
+        report = dict(zip(self.registry.report_fields, fields.get("stats") or [], strict=False))
+        duration, finished = seconds(fields["latency_ns"]), bool(fields.get("closed"))
+        return interface.Outcome(result, duration, finished, wait, report.get("x1"), report.get("x0", 1.0))
 
     def attempt_end(self, now: float, fields: Fields) -> None:
         held = self.by_id.get(fields["op_id"])
-        if held is None or fields["shot"] not in held.out:
+        if held is None or fields["shot"] not in held.in_flight:
             return
         outcome = self.outcome(fields)
-        held.out.discard(fields["shot"])
-        self.tell("attempt_ended", now, held.attempts[fields["shot"]], outcome)
-        held.owed = held.owed and not outcome.finished
-        self.leaving.append(held)
+        held.in_flight.discard(fields["shot"])
+        self.call_policy("attempt_ended", now, held.attempts[fields["shot"]], outcome)
+        held.pending = held.pending and not outcome.finished
+        self.maybe_done.append(held)
 
     def check_result(self, now: float, fields: Fields) -> None:
-        route = self.book.routes.get(fields["endpoint"])
+        route = self.registry.routes.get(fields["endpoint"])
         if route is not None:
-            self.tell("probe_ended", now, route, self.outcome(fields))
+            self.call_policy("probe_ended", now, route, self.outcome(fields))
 
     def client_gone(self, now: float, fields: Fields) -> None:
         held = self.by_id.get(fields["op_id"])
         if held is not None:
-            self.tell("message_withdrawn", now, held.mail)
-            self.answered(held.mail)
+            self.call_policy("message_withdrawn", now, held.message)
+            self.finish(held.message)
 
     def heard(self, now: float, fields: Fields) -> None:
-        self.tell(
+        self.call_policy(
             "note_received", now, fields["sender"], base64.b64decode(fields["blob"] or "", validate=True)
         )
 
     def tick_due(self, now: float, fields: Fields) -> None:
-        self.tell("timer_expired", now, fields["ref"])
+        self.call_policy("timer_expired", now, fields["ref"])
 
     def under_way(self, now: float, fields: Fields) -> None:
-        """The wire's streamed answers: no queue class here has them, and the attempt's end still comes."""
+        """Ignore progress of a streamed response: no queue class here has any, and the attempt still ends."""
         del now, fields["op_id"]
 
-    def answered(self, mail: interface.Message) -> str:
-        """No answer is owed any more: given, or not wanted."""
-        held = self.by_mail[mail]
-        held.owed = False
-        self.leaving.append(held)
+    def finish(self, message: interface.Message) -> str:
+        """Note that a message has its final outcome or was withdrawn; return its id."""
+        held = self.by_message[message]
+        held.pending = False
+        self.maybe_done.append(held)
         return held.op_id
 
     def forget(self) -> None:
-        """Free the mails that are answered and have no attempt out."""
-        for held in self.leaving:
-            if not held.owed and not held.out:
+        """Drop messages that are finished and have no attempt in flight."""
+        for held in self.maybe_done:
+            if not held.pending and not held.in_flight:
                 self.by_id.pop(held.op_id, None)
-                self.by_mail.pop(held.mail, None)
-        self.leaving.clear()
+                self.by_message.pop(held.message, None)
+        self.maybe_done.clear()
 
     def reply(self, now: float) -> list[Fields]:
-        effects = self.guard(lambda: self.control.turn(now) if self.control else [])
+        """Take one turn: its effects as actions of the wire, or a panic where a call failed."""
+        effects = self.guard(lambda: self.policy.turn(now) if self.policy else [])
         if self.fault is not None:
             return [{"panic": {"dispatcher_id": self.number, "note_text": self.fault}}]
-        # Each instance is one process here: there is no other one to be told of routes.
-        told = (
+        # Each instance is one process here: there is no peer process to tell about routes.
+        on_wire = (
             effect
             for effect in effects
             if not isinstance(effect, interface.RouteFailed | interface.RouteRecovered)
         )
-        lines = [self.action(effect) for effect in told]
+        lines = [self.action(effect) for effect in on_wire]
         self.forget()
         return lines
 
@@ -187,23 +193,24 @@
         return {name: {"dispatcher_id": self.number, **fields}}
 
     def encode(self, effect: interface.Effect) -> tuple[str, Fields]:
+        """Name and fields of the action for an effect. TypeError: the wire has none for it."""
         match effect:
-            case interface.Attempt(message=mail, route=route, timeout=time_out):
-                held = self.by_mail[mail]
-                held.out.add(len(held.attempts))
+            case interface.Attempt(message=message, route=route, timeout=timeout):
+                held = self.by_message[message]
+                held.in_flight.add(len(held.attempts))
                 held.attempts.append(effect)
                 return "dispatch", {
                     "op_id": held.op_id,
                     "endpoint": route.name,
-                    "try_for_ns": round(time_out * NS),
+                    "try_for_ns": round(timeout * NS),
                 }
             case interface.Cancel(attempt=attempt):
-                held = self.by_mail[attempt.message]
+                held = self.by_message[attempt.message]
                 return "cancel", {"op_id": held.op_id, "shot": held.attempts.index(attempt)}
-            case interface.Defer(message=mail, retry_after=retry_after):
-                return "deny", {"op_id": self.answered(mail), "retry_after_ns": round(retry_after * NS)}
-            case interface.Bounce(message=mail):
-                return "report_failure", {"op_id": self.answered(mail)}
+            case interface.Defer(message=message, retry_after=retry_after):
+                return "deny", {"op_id": self.finish(message), "retry_after_ns": round(retry_after * NS)}
+            case interface.Bounce(message=message):
+                return "report_failure", {"op_id": self.finish(message)}
             case interface.Probe(route=route):
                 return "poll", {"endpoint": route.name}
             case interface.CloseIdleConnections(route=route):
@@ -212,9 +219,9 @@
                 return "memo_to", {"target": peer, "blob": base64.b64encode(data).decode()}
             case interface.FetchList(watch=watch):
                 return ("observe", {"active": True}) if watch else ("reload", {})
-            case interface.StartTimer(delay=after, name=name):
-                return "remind", {"offset_ns": max(0, round(after * NS)), "ref": name}
+            case interface.StartTimer(delay=delay, name=name):
+                return "remind", {"offset_ns": max(0, round(delay * NS)), "ref": name}
             case interface.LogLine(text=text):
                 return "trace", {"note_text": text}
             case interface.RouteFailed() | interface.RouteRecovered():
-                raise TypeError(f"not an action of the wire: {effect!r}")
+                raise TypeError(f"the wire has no action for {effect!r}")
--- a/laureldock/benchlink/wire.py
+++ b/laureldock/benchlink/wire.py
@@ -1,4 +1,4 @@
-"""JSON lines to events and effects back to JSON lines, for many instances that share nothing."""
+"""JSON lines to events, and effects back to JSON lines, for many instances that share nothing."""
 
 from __future__ import annotations
 
@@ -11,24 +11,28 @@
 
 
 class WireError(Exception):
-    """What came in is not the wire; the adapter must not guess."""
+    """The input breaks the protocol of the wire; the adapter must not guess what was meant."""
 
 
 def parse(line: bytes) -> tuple[str, Fields]:
+    """Name and fields of a message. WireError: the line is not one."""
     try:
         value = json.loads(line)
     except ValueError as fault:
-        raise WireError(f"not JSON: {line[:80]!r} ({fault})") from None
+        raise WireError(f"line is not JSON: {line[:80]!r} ({fault})") from None
     if not isinstance(value, dict) or len(value) != 1:
-        raise WireError(f"not one named message: {line[:80]!r}")
+        raise WireError(f"line is not an object with exactly one name: {line[:80]!r}")
     name, fields = next(iter(value.items()))
     if not isinstance(fields, dict):
-        raise WireError(f"{name}: its fields are no object")
+        raise WireError(f"{name}: fields are not an object")
     return name, fields
 
 
 def read_batch(source: BinaryIO) -> tuple[float, list[tuple[str, Fields]]] | None:
-    """The clock in seconds and the events of the next batch, or None at the end of input."""
+    """The clock in seconds and the events of the next batch, or None at the end of input.
+
+    WireError: the input is not a batch, or ends inside one.
+    """
     line = source.readline()
     while line and not line.strip():
         line = source.readline()
@@ -37,7 +41,7 @@
     name, fields = parse(line)
     clock = fields.get("at_time_ns")
     if name != "batch" or not isinstance(clock, int):
-        raise WireError(f"a batch with its clock was due, got {name!r}")
+        raise WireError(f"expected a batch with its clock, got {name!r}")
     events: list[tuple[str, Fields]] = []
     while True:
         line = source.readline()
@@ -52,13 +56,14 @@
 
 
 class Hub:
-    """All instances of this process, and the lists that views refer to by number."""
+    """All instances of this process, and the endpoint lists that views refer to by number."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.lists: dict[int, list[Fields]] = {}
 
     def batch(self, now: float, events: list[tuple[str, Fields]]) -> list[Fields]:
+        """Hand out the events of a batch, then collect the actions. WireError: an event is malformed."""
         replies: list[Fields] = []
         touched: dict[int, Instance] = {}
         for name, fields in events:
@@ -75,7 +80,7 @@
                     continue
                 instance = self.instances.get(number)
                 if instance is None:
-                    raise WireError(f"{name}: no instance {number} lives")
+                    raise WireError(f"{name}: there is no instance {number}")
                 touched[number] = instance
                 if name == "view":
                     records = [] if fields["form"] == "unavailable" else self.lists[fields["slot"]]
@@ -93,6 +98,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Reply to each batch until the input ends. WireError: the input breaks the protocol."""
     hub = Hub()
     while (batch := read_batch(source)) is not None:
         lines = hub.batch(*batch)
--- a/laureldock/core/invariants.py
+++ b/laureldock/core/invariants.py
@@ -166,7 +166,7 @@
         self.check(fits, Invariant.SENT_OVER_WINDOW, out=here + there, **facts)
 
     def _check_repeat(self, kind: interface.QueueClass, age: float, facts: dict[str, str]) -> None:
-        once = kind.repeat_safety is interface.RepeatSafety.ONCE_ONLY or kind.never_if_may_have_run
+        once = kind.repeat_safety is interface.RepeatSafety.ONCE_ONLY or kind.stop_if_may_have_run
         self.check(not once, Invariant.REPEATED, **facts)
         forgotten = kind.repeat_safety is interface.RepeatSafety.TAGGED and age > kind.tag_memory_time
         self.check(not forgotten, Invariant.REPEATED_LATE, age=age, **facts)
--- a/laureldock/delivery_policy.py
+++ b/laureldock/delivery_policy.py
@@ -1,9 +1,11 @@
-"""Every decision of laureldock: which mail goes when, over which route, and what becomes of it.
+"""Every decision of laureldock: which message is sent when and over which route, and how it ends.
 
-Calls, types: `laureldock/interface.py`; what is remembered: `laureldock/records.py`; why: `docs/design.md`.
+`laureldock/interface.py` has the calls and the types of the adapters, `laureldock/delivery_state.py` what is
+remembered between calls; `docs/design.md` gives the reasons at length.
 
-A mail waits in the line of its destination; while the window there has room, the best mail draws one of the
-live routes by shares. ROUTE_TABLE leads the routes, MAIL_TABLE leads the mails.
+A message waits in the queues of its destination. While the destination's window has room, the most urgent
+message is sent over one of its routes with a closed circuit, drawn at random by their shares.
+CIRCUIT_TRANSITIONS governs the circuit breaker of each route, MESSAGE_TRANSITIONS the life of each message.
 """
 
 from __future__ import annotations
@@ -28,663 +30,809 @@
     UndeliveredReason,
 )
 
-# A route's circuit breaker: closed (live), open (share nought, for its backoff or a told wait), or on trial.
+# The circuit breaker of a route. CLOSED: the route takes messages by its share. OPEN: its share is zero, for
+# its backoff or for a requested wait. HALF_OPEN: one trial is in flight.
 CircuitState = Enum("CircuitState", "CLOSED OPEN HALF_OPEN")
-# RUN: the latest of a run of failures; WAIT: told to wait; UNSENT: the attempt says nothing of the route.
+# What the outcome of a call says of its route. FAILURE_RUN: it failed, and so did most calls before it;
+# WAIT_REQUESTED: the receiver requested a wait; NO_EVIDENCE: the outcome says nothing of the route.
 RouteSignal = Enum("RouteSignal", "SERVED FAILED FAILURE_RUN WAIT_REQUESTED TRIAL_STARTED NO_EVIDENCE")
+# By state and signal: the next state, and the method of DeliveryPolicy that carries out the change, if any.
 CIRCUIT_TRANSITIONS = {
-    (CircuitState.CLOSED, RouteSignal.FAILURE_RUN): (CircuitState.OPEN, "shut"),
+    (CircuitState.CLOSED, RouteSignal.FAILURE_RUN): (CircuitState.OPEN, "open_circuit"),
     (CircuitState.CLOSED, RouteSignal.WAIT_REQUESTED): (CircuitState.OPEN, ""),
     (CircuitState.OPEN, RouteSignal.TRIAL_STARTED): (CircuitState.HALF_OPEN, ""),
-    (CircuitState.HALF_OPEN, RouteSignal.SERVED): (CircuitState.CLOSED, "reopen"),
-    (CircuitState.HALF_OPEN, RouteSignal.FAILED): (CircuitState.OPEN, "shut"),
-    (CircuitState.HALF_OPEN, RouteSignal.FAILURE_RUN): (CircuitState.OPEN, "shut"),
+    (CircuitState.HALF_OPEN, RouteSignal.SERVED): (CircuitState.CLOSED, "close_circuit"),
+    (CircuitState.HALF_OPEN, RouteSignal.FAILED): (CircuitState.OPEN, "open_circuit"),
+    (CircuitState.HALF_OPEN, RouteSignal.FAILURE_RUN): (CircuitState.OPEN, "open_circuit"),
     (CircuitState.HALF_OPEN, RouteSignal.WAIT_REQUESTED): (CircuitState.OPEN, ""),
     (CircuitState.HALF_OPEN, RouteSignal.NO_EVIDENCE): (CircuitState.OPEN, ""),
 }
 
-# A mail waits for its first or a further attempt, has one out, or is done with.
+# A message waits for its first or a further attempt, has an attempt in flight, or has its final outcome.
 MessageStage = Enum("MessageStage", "WAITING IN_FLIGHT FINISHED")
-# AGAIN: another attempt is allowed; SPENT: nothing more may or can be tried; OVER: relayed, or not wanted.
+# SENT: an attempt starts; MAY_RETRY: it failed and another one is allowed; GIVEN_UP: no further attempt is
+# allowed or useful; COMPLETED: the message was relayed or withdrawn.
 MessageEvent = Enum("MessageEvent", "SENT MAY_RETRY GIVEN_UP COMPLETED")
+# By stage and event: the next stage, and the method of DeliveryPolicy that carries out the change, if any.
 MESSAGE_TRANSITIONS = {
     (MessageStage.WAITING, MessageEvent.SENT): (MessageStage.IN_FLIGHT, ""),
-    (MessageStage.WAITING, MessageEvent.GIVEN_UP): (MessageStage.FINISHED, "answer"),
-    (MessageStage.WAITING, MessageEvent.COMPLETED): (MessageStage.FINISHED, "pass_turn"),
-    (MessageStage.IN_FLIGHT, MessageEvent.SENT): (MessageStage.IN_FLIGHT, ""),  # a second copy
+    (MessageStage.WAITING, MessageEvent.GIVEN_UP): (MessageStage.FINISHED, "end_undelivered"),
+    (MessageStage.WAITING, MessageEvent.COMPLETED): (MessageStage.FINISHED, "leave_key_queue"),
+    (MessageStage.IN_FLIGHT, MessageEvent.SENT): (MessageStage.IN_FLIGHT, ""),  # a hedged attempt
     (MessageStage.IN_FLIGHT, MessageEvent.MAY_RETRY): (MessageStage.WAITING, "enqueue"),
-    (MessageStage.IN_FLIGHT, MessageEvent.GIVEN_UP): (MessageStage.FINISHED, "answer"),
-    (MessageStage.IN_FLIGHT, MessageEvent.COMPLETED): (MessageStage.FINISHED, "pass_turn"),
+    (MessageStage.IN_FLIGHT, MessageEvent.GIVEN_UP): (MessageStage.FINISHED, "end_undelivered"),
+    (MessageStage.IN_FLIGHT, MessageEvent.COMPLETED): (MessageStage.FINISHED, "leave_key_queue"),
 }
 
 
 class DurationHistogram:
-    """Times a route took, in a few coarse bins."""
+    """Durations of served calls, in a few coarse bins."""
 
-    # Doubling bins: a factor of two is all that "overdue" needs, from a quick call to the longest lifetime.
-    EDGES = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6)
+    # Upper edges in seconds. Doubling bins: "overdue" needs no more than a factor of two, from a quick call
+    # to the longest lifetime.
+    BIN_EDGES = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6)
 
     def __init__(self) -> None:
-        self.bins = [0] * (len(self.EDGES) + 1)
-
-    def add(self, took: float) -> None:
-        self.bins[bisect_left(self.EDGES, took)] += 1
-        if sum(self.bins) >= 64:  # enough for a tenth to be told from none; halved so that old days fade
-            self.bins = [count // 2 for count in self.bins]
-
-    def most(self, otherwise: float, part: float = 0.9) -> float:
-        """What that part of the calls stays under; `otherwise` while too few are known to say."""
-        total, runs = sum(self.bins), accumulate(self.bins)
-        edges = (edge for edge, run in zip(self.EDGES, runs, strict=False) if run >= part * total)
-        return next(edges, otherwise) if total >= 4 else otherwise
+        self.counts = [0] * (len(self.BIN_EDGES) + 1)
+
+    def add(self, duration: float) -> None:
+        """Count one call; once 64 are counted all counts are halved, so that old calls fade."""
+        self.counts[bisect_left(self.BIN_EDGES, duration)] += 1
+        if sum(self.counts) >= 64:  # enough to tell a tenth of the calls from none
+            self.counts = [count // 2 for count in self.counts]
+
+    def quantile(self, default: float, fraction: float = 0.9) -> float:
+        """Seconds that this fraction of the calls stays under; `default` while fewer than four are known."""
+        total, running_totals = sum(self.counts), accumulate(self.counts)
+        edges = (
+            edge
+            for edge, running in zip(self.BIN_EDGES, running_totals, strict=False)
+            if running >= fraction * total
+        )
+        return next(edges, default) if total >= 4 else default
 
 
 class DeliveryPolicy:
-    def __init__(self, tariff: interface.DeliverySettings, now: float) -> None:
-        self.seed, self.serial = tariff.seed, count(1)
-        self.slots, self.room, self.most_attempts = tariff.slots, tariff.room, tariff.max_attempts
-        self.may_probe, self.may_cancel, self.notices = (
-            tariff.may_probe,
-            tariff.may_cancel,
-            tariff.has_notices,
-        )
-        self.most_retry_after, self.key_rest = tariff.max_retry_after, tariff.key_cooldown_time
-        self.connect_time = tariff.connect_timeout or inf
-        self.fees, self.handshake, self.near_list = (
-            tariff.zone_fees,
-            tariff.handshake_cost,
-            tariff.list_is_local,
-        )
-        self.may_copy, self.drain_grace = tariff.may_hedge, tariff.drain_grace
-        self.part, self.instances, self.seldom = 1.0 / tariff.instances, tariff.instances, False
-        # Even parts of many say little, since most send nothing just now: calls go freely then until one is
-        # refused or fails, and have to be earned after that. Of eight, each still sees a fair sample.
-        self.many = tariff.instances > 8
-        # Between sweeps: short against every pause and target delay; of many, each has little to miss.
-        self.tick = 0.1 if self.many else 0.05
-        # Under three quarters of the slots for a destination, and half for a sick one: the design's figures.
-        self.cap, self.sick_cap = max(1, -(-tariff.slots * 3 // 4) - 1), max(1, tariff.slots // 2)
-        self.start, self.warm_time = tariff.start_capacity, tariff.warm_time
-        # What a cold route bears, for each call that it takes when warm; the rest is for trials and chance.
-        self.cold = 0.6 * tariff.tip_multiple
-        self.rate_trust = {"nominal": 1.0, "rough": 2 / 3}.get(
-            tariff.listed_rates, 0.0
-        )  # may be half too high
-        self.known = 0  # routes that are listed as up, of all destinations
-        self.destination_states: dict[interface.Destination, DestinationState] = {}
-        self.busy: dict[DestinationState, None] = {}  # those with mails that wait: a turn looks at no others
-        self.calls: dict[Call, None] = {}  # all that are out
-        self.fresh: dict[RouteState, Call] = {}  # those opened in this turn
-        self.ends: list[tuple[float, int, MessageState]] = []
-        self.terms: dict[interface.QueueClass, interface.Terms] = {}
-        self.copies: list[tuple[float, int, MessageState]] = []  # when a second copy is due
-        self.key_queues: dict[str, KeyQueue] = {}
-        self.others = interface.PeerLoad()  # of this dispatcher, while one hands over to the next
-        self.resting: list[tuple[float, int, KeyQueue]] = []
-        # Kept as long as receivers keep them; by many shorter where attempts find none: idle ones cost.
-        self.idle_time = min(tariff.idle_time or inf, 30.0)
-        self.keep = self.idle_time if self.many else 30.0 / tariff.instances
-        self.idle, self.tally = (
-            deque[tuple[float, RouteState]](),
-            DurationHistogram(),
-        )  # of all calls, where a route's are few
-        self.rest, self.broke = inf, now  # for how long a connection may have rested when one last broke
-        self.pending_count, self.ask_backoff, self.asked, self.ticking, self.sends_end_at = (
-            0,
-            0.0,
-            now,
+    """The decisions of one instance. `laureldock/interface.py` lists the calls; `now` is the time of each."""
+
+    def __init__(self, settings: interface.DeliverySettings, now: float) -> None:
+        self.seed, self.sequence = settings.seed, count(1)
+        self.slots, self.room, self.max_attempts = settings.slots, settings.room, settings.max_attempts
+        self.may_probe, self.may_cancel, self.has_notices = (
+            settings.may_probe,
+            settings.may_cancel,
+            settings.has_notices,
+        )
+        self.max_retry_after, self.key_cooldown_time = settings.max_retry_after, settings.key_cooldown_time
+        self.connect_timeout = settings.connect_timeout or inf
+        self.zone_fees, self.handshake_cost, self.list_is_local = (
+            settings.zone_fees,
+            settings.handshake_cost,
+            settings.list_is_local,
+        )
+        self.may_hedge, self.drain_grace = settings.may_hedge, settings.drain_grace
+        # The fraction of each limit that this process keeps to. `sparse_traffic`: whether there are many
+        # instances and so many routes that each instance calls any one route only rarely.
+        self.instance_fraction, self.instances, self.sparse_traffic = (
+            1.0 / settings.instances,
+            settings.instances,
             False,
-            inf,
         )
-        self.keeps = False  # what waits at the end of the process is left to the next one
+        # With many instances, an even fraction of a limit says little, since most of them send nothing at
+        # the moment: calls go freely until one is refused or fails, and have to be earned after that. With
+        # eight or fewer, each still sees a fair sample of a route's traffic.
+        self.many_instances = settings.instances > 8
+        # Seconds between sweeps: short against every pause and target delay. With many instances each has few
+        # messages that a sweep could be late for.
+        self.sweep_interval = 0.1 if self.many_instances else 0.05
+        # Calls in flight to one destination: less than three quarters of the slots, and half of them while
+        # one of its routes fails. Both figures are those of the design.
+        self.max_destination_calls, self.max_failing_destination_calls = (
+            max(1, -(-settings.slots * 3 // 4) - 1),
+            max(1, settings.slots // 2),
+        )
+        self.start_capacity, self.warm_time = settings.start_capacity, settings.warm_time
+        # Calls that a cold route is sent, as a multiple of the capacity that it has by slow start. The rest
+        # of the multiple that it tolerates is left for trials and for chance.
+        self.cold_load_factor = 0.6 * settings.tip_multiple
+        # Listed rates that are rough may be half too high.
+        self.listed_rate_trust = {"nominal": 1.0, "rough": 2 / 3}.get(settings.listed_rates, 0.0)
+        self.routes_up = 0  # routes that are listed as up, of all destinations
+        self.destination_states: dict[interface.Destination, DestinationState] = {}
+        # Destinations with messages in their queues: a turn looks at no others.
+        self.queued_destinations: dict[DestinationState, None] = {}
+        self.calls: dict[Call, None] = {}  # all calls in flight; each takes a slot
+        # Calls started in this turn: further messages may join them, up to the size of a batch.
+        self.calls_this_turn: dict[RouteState, Call] = {}
+        # When each message has to be given up if it still waits, as a heap.
+        self.expiries: list[tuple[float, int, MessageState]] = []
+        self.default_terms: dict[interface.QueueClass, interface.Terms] = {}
+        self.hedges_due: list[tuple[float, int, MessageState]] = []  # when a hedged attempt is due, as a heap
+        self.key_queues: dict[str, KeyQueue] = {}
+        self.peer_load = interface.PeerLoad()  # of peer processes, while one hands over to the next
+        # When the cooldown of each key ends, as a heap.
+        self.cooldowns: list[tuple[float, int, KeyQueue]] = []
+        # Seconds that an idle connection is kept. Idle connections cost room at receivers: with many
+        # instances they are kept as long as receivers keep them, and for less where connects find no room.
+        self.max_idle_time = min(settings.idle_time or inf, 30.0)
+        self.keep_idle_time = self.max_idle_time if self.many_instances else 30.0 / settings.instances
+        # When which route had its last call, in that order; and durations of the calls of all routes, for
+        # routes with few calls of their own.
+        self.idle_routes, self.durations = deque[tuple[float, RouteState]](), DurationHistogram()
+        # Seconds for which a connection may be idle and still be open, by the last one found closed, and when
+        # that was found.
+        self.safe_idle_time, self.idle_reset_at = inf, now
+        # Messages without a final outcome; backoff in seconds and last fetch of the list; whether the sweep
+        # timer is set; when sending ends, at shutdown.
+        (
+            self.pending_count,
+            self.list_backoff,
+            self.list_fetched_at,
+            self.sweep_timer_set,
+            self.sends_end_at,
+        ) = (0, 0.0, now, False, inf)
+        self.hands_over = False  # what waits at the end of the process is left to the next one
         self.sends_held = False  # nothing new is sent now: it could not be recorded
         self.effects: list[interface.Effect] = []
-        if tariff.must_fetch_list:
+        if settings.must_fetch_list:
             self.timer_expired(now, "ask")
 
-    def list_updated(self, now: float, routes: list[Route], whole: bool) -> None:
-        self.ask_backoff = 0.0
-        for route in (
-            [route for line in self.destination_states.values() for route in line.route_states]
-            if whole
-            else routes
+    def list_updated(self, now: float, listed_routes: list[Route], full: bool) -> None:
+        """Take in an update of the endpoint list; a full list is compared with all routes known."""
+        self.list_backoff = 0.0
+        for listed in (
+            [listed for destination in self.destination_states.values() for listed in destination.routes]
+            if full
+            else listed_routes
         ):
-            gone = route.listed_state is not interface.ListedState.UP
-            if gone and (lane := self.line(route.destination).route_states.pop(route, None)):
-                lane.drained_at, self.known = now, self.known - 1  # nothing new to it; what is out runs on
-        for route in routes:
-            line = self.line(route.destination)
-            if route.listed_state is interface.ListedState.UP and route not in line.route_states:
-                line.batch_size = route.kind.batch_size
-                route.policy_state = line.route_states[route] = RouteState(
-                    route, line, CircuitState.CLOSED, DurationHistogram()
+            not_up = listed.listed_state is not interface.ListedState.UP
+            if not_up and (route := self.destination_state_of(listed.destination).routes.pop(listed, None)):
+                # Nothing new is sent over it; calls in flight go on.
+                route.drained_at, self.routes_up = now, self.routes_up - 1
+        for listed in listed_routes:
+            destination = self.destination_state_of(listed.destination)
+            if listed.listed_state is interface.ListedState.UP and listed not in destination.routes:
+                destination.batch_size = listed.kind.batch_size
+                listed.policy_state = destination.routes[listed] = RouteState(
+                    listed, destination, CircuitState.CLOSED, DurationHistogram()
                 )
-                self.known += 1
-        # Where instances outnumber routes, places at receivers are scarce: idle connections close at once, a
-        # attempt that never comes up has met a full table, and what was refused is earned.
-        self.seldom = self.many and self.instances <= 1.5 * self.known
-        self.keep = 0.1 if self.many and not self.seldom else self.keep
+                self.routes_up += 1
+        # Where instances clearly outnumber routes, connections at receivers are scarce: idle ones are closed
+        # at once, an attempt whose connection never comes up has met a full connection table, and calls are
+        # earned after a refusal.
+        self.sparse_traffic = self.many_instances and self.instances <= 1.5 * self.routes_up
+        self.keep_idle_time = 0.1 if self.many_instances and not self.sparse_traffic else self.keep_idle_time
 
     def list_failed(self, now: float) -> None:
-        # Doubled from half a second; one near by costs nothing: a quarter apart, soon after a longer silence.
-        self.ask_backoff = 0.25 if self.near_list else min(8.0, max(0.5, self.ask_backoff * 2))
-        draw, passed = self.chance(), now - self.asked if self.near_list else 0.0
-        pause = max(0.1 * draw, self.ask_backoff * (0.75 + 0.5 * draw) - passed)  # a fleet must spread
+        """Schedule the next fetch of the list, at a random moment: a whole fleet must not come at once."""
+        # The backoff doubles from 0.5 s up to 8 s. A local list costs nothing to fetch: it is fetched every
+        # quarter of a second, counted from the last fetch, and so soon after a longer silence.
+        self.list_backoff = 0.25 if self.list_is_local else min(8.0, max(0.5, self.list_backoff * 2))
+        draw, elapsed = self.random_fraction(), now - self.list_fetched_at if self.list_is_local else 0.0
+        pause = max(0.1 * draw, self.list_backoff * (0.75 + 0.5 * draw) - elapsed)
         self.effects.append(interface.StartTimer(pause, "ask"))
 
-    def message_accepted(self, now: float, mail: Message) -> None:
-        kind, line, end = mail.queue_class, self.line(mail.destination), now + mail.time_left
-        born, once = end - kind.lifetime, kind.repeat_safety is RepeatSafety.ONCE_ONLY
-        # Of a mail that ran in an earlier life, the zone that would know a repeat is not known any more.
-        single = once or kind.never_if_may_have_run or (kind.one_zone and mail.age_of_first_run is not None)
-        fades = born + kind.target_delay if kind.halves_importance_when_late else end
-        terms = mail.terms or self.plain(kind)
-        case = mail.policy_state = MessageState(
-            mail, line, MessageStage.WAITING, born, end, fades, once, single, terms
-        )
-        # What an earlier life of this dispatcher tried counts as if this one had.
-        case.attempts, case.may_have_run_at = (
-            mail.earlier_attempts,
-            0.0 if mail.age_of_first_run is None else now - mail.age_of_first_run,
-        )
-        self.pending_count += not mail.awaits_notice
-        for lane in (
-            line.route_states.values() if self.many else ()
-        ):  # what is not free is earned by what comes in
-            self.refill(now, lane)
-            lane.credit += self.bears(now, lane) / len(line.route_states)
-        heapq.heappush(self.ends, (case.expires_at, next(self.serial), case))
-        if kind.in_order and mail.key is not None:
-            case.key_queue = turns = self.key_queues.setdefault(mail.key, KeyQueue(mail.key))
-            # In the order in which they were accepted, whichever process of this dispatcher did that.
-            place = len(turns.messages)
+    def message_accepted(self, now: float, submitted: Message) -> None:
+        """Hold an accepted message until it has its outcome: queue it, or let it wait for its key."""
+        queue_class, destination, expires_at = (
+            submitted.queue_class,
+            self.destination_state_of(submitted.destination),
+            now + submitted.time_left,
+        )
+        handed_in_at, once_only = (
+            expires_at - queue_class.lifetime,
+            queue_class.repeat_safety is RepeatSafety.ONCE_ONLY,
+        )
+        # Where a previous process may have run it, the zone that would recognize a repeat is no longer known.
+        stop_if_may_have_run = (
+            once_only
+            or queue_class.stop_if_may_have_run
+            or (queue_class.one_zone and submitted.age_of_first_run is not None)
+        )
+        fades_at = (
+            handed_in_at + queue_class.target_delay if queue_class.halves_importance_when_late else expires_at
+        )
+        terms = submitted.terms or self.default_terms_of(queue_class)
+        message = submitted.policy_state = MessageState(
+            submitted,
+            destination,
+            MessageStage.WAITING,
+            handed_in_at,
+            expires_at,
+            fades_at,
+            once_only,
+            stop_if_may_have_run,
+            terms,
+        )
+        # Attempts of a previous process of this dispatcher count like those of this one.
+        message.attempts, message.may_have_run_at = (
+            submitted.earlier_attempts,
+            0.0 if submitted.age_of_first_run is None else now - submitted.age_of_first_run,
+        )
+        self.pending_count += not submitted.awaits_notice
+        # With many instances, calls that do not go freely are earned by the messages that come in.
+        for route in destination.routes.values() if self.many_instances else ():
+            self.refill_credit(now, route)
+            route.credit += self.sendable_fraction(now, route) / len(destination.routes)
+        heapq.heappush(self.expiries, (message.expires_at, next(self.sequence), message))
+        if queue_class.in_order and submitted.key is not None:
+            message.key_queue = key_queue = self.key_queues.setdefault(submitted.key, KeyQueue(submitted.key))
+            # In the order of acceptance, whichever process of this dispatcher accepted them.
+            place = len(key_queue.messages)
             while (
                 place
-                and not (before := turns.messages[place - 1]).outstanding
-                and mail.accepted_at < before.message.accepted_at
+                and not (before := key_queue.messages[place - 1]).outstanding
+                and submitted.accepted_at < before.submitted.accepted_at
             ):
                 place -= 1
-            turns.messages.insert(place, case)
-            if mail.call_interrupted:
-                turns.cooldown_until, turns.cooldown_exempt = (
-                    max(turns.cooldown_until, now + self.key_rest),
-                    case,
+            key_queue.messages.insert(place, message)
+            if submitted.call_interrupted:
+                key_queue.cooldown_until, key_queue.cooldown_exempt = (
+                    max(key_queue.cooldown_until, now + self.key_cooldown_time),
+                    message,
                 )
-        if mail.awaits_notice:  # its key's next waits for its notice
-            case.stage, case.outstanding = MessageStage.FINISHED, 1
-        elif case.attempts and not self.may_go(now, case):
-            self.step(now, case, MessageEvent.GIVEN_UP)
-        elif case.key_queue:
-            self.wake(now, case.key_queue)
+        if submitted.awaits_notice:  # the next message of its key waits until the notice is acknowledged
+            message.stage, message.outstanding = MessageStage.FINISHED, 1
+        elif message.attempts and not self.may_attempt(now, message):
+            self.apply_event(now, message, MessageEvent.GIVEN_UP)
+        elif message.key_queue:
+            self.start_next_of_key(now, message.key_queue)
         else:
-            self.enqueue(now, case)
+            self.enqueue(now, message)
 
     def attempt_ended(self, now: float, attempt: Attempt, outcome: Outcome) -> None:
+        """Learn from the outcome of an attempt, then finish its message, or retry or end it."""
         call: Call = attempt.policy_state
-        case: MessageState = attempt.message.policy_state
+        message: MessageState = attempt.message.policy_state
         call.attempts_in_flight -= 1
         if outcome.result in (AttemptResult.SERVED, AttemptResult.ERROR, AttemptResult.REFUSED):
-            call.route_state.last_response_at = now
+            call.route.last_response_at = now
         if not call.attempts_in_flight:
-            del self.calls[call], call.route_state.calls[call]
-            line, call.route_state.last_call_ended_at = call.route_state.destination_state, now
-            self.idle.append((now, call.route_state))
-            self.effects.append(interface.StartTimer(self.keep, "idle"))
-            line.calls_in_flight, line.overdue_calls = (
-                line.calls_in_flight - 1,
-                line.overdue_calls - call.overdue,
+            del self.calls[call], call.route.calls[call]
+            destination, call.route.last_call_ended_at = call.route.destination, now
+            self.idle_routes.append((now, call.route))
+            self.effects.append(interface.StartTimer(self.keep_idle_time, "idle"))
+            destination.calls_in_flight, destination.overdue_calls = (
+                destination.calls_in_flight - 1,
+                destination.overdue_calls - call.overdue,
+            )
+            # Average time that a message takes a slot here, moved by a tenth each time, so that one heavy
+            # message changes it little. A quick failure does not make it smaller.
+            slot_time = (now - call.sent_at) / len(call.attempts)
+            for each in (destination, call.route):
+                if outcome.result is AttemptResult.SERVED or slot_time > each.slot_time:
+                    each.slot_time += (0.1 if each.slot_time else 1.0) * (slot_time - each.slot_time)
+        self.evaluate_call(now, call, outcome)
+        message.outstanding -= 1
+        message.attempts -= not outcome.started  # one that never started is not counted
+        if message.key_queue and outcome.result in interface.RESULTS_THAT_MAY_STILL_RUN:
+            message.key_queue.cooldown_until, message.key_queue.cooldown_exempt = (
+                now + self.key_cooldown_time,
+                message,
             )
-            # What a mail costs here in time of a slot; a tenth at a time, so that one heavy mail says little.
-            took = (now - call.sent_at) / len(call.attempts)
-            for each in (line, call.route_state):
-                if (
-                    outcome.result is AttemptResult.SERVED or took > each.slot_time
-                ):  # a quick failure is not cheap
-                    each.slot_time += (0.1 if each.slot_time else 1.0) * (took - each.slot_time)
-        self.judge(now, call, outcome)
-        case.outstanding -= 1
-        case.attempts -= not outcome.started  # what never began takes no attempt from its mail
-        if case.key_queue and outcome.result in interface.RESULTS_THAT_MAY_STILL_RUN:
-            case.key_queue.cooldown_until, case.key_queue.cooldown_exempt = now + self.key_rest, case
-        if not case.may_have_run_at and outcome.result not in (
+        if not message.may_have_run_at and outcome.result not in (
             AttemptResult.REFUSED,
             AttemptResult.NO_CONNECTION,
             AttemptResult.MOOT,
         ):
-            case.may_have_run_at = call.sent_at
-        if not case.may_have_run_at and not case.outstanding:
-            case.bound_zone = None  # it never ran: any zone will do
-        if case.stage is MessageStage.FINISHED:
-            self.pass_turn(now, case)
-        elif not case.outstanding or outcome.finished:  # else its other copy is still out
-            self.call_off(case)
-            further = MessageEvent.MAY_RETRY if self.may_go(now, case) else MessageEvent.GIVEN_UP
-            self.step(now, case, MessageEvent.COMPLETED if outcome.finished else further)
-
-    def probe_ended(self, now: float, route: Route, outcome: Outcome) -> None:
-        lane: RouteState | None = route.policy_state
-        if lane and lane.circuit is CircuitState.HALF_OPEN:
-            self.sign(now, lane, self.reading(now, lane, outcome))
+            message.may_have_run_at = call.sent_at
+        if not message.may_have_run_at and not message.outstanding:
+            message.bound_zone = None  # it never ran: any zone will do
+        if message.stage is MessageStage.FINISHED:
+            self.leave_key_queue(now, message)
+        elif not message.outstanding or outcome.finished:  # otherwise its other attempt is still in flight
+            self.cancel_attempts(message)
+            failed = MessageEvent.MAY_RETRY if self.may_attempt(now, message) else MessageEvent.GIVEN_UP
+            self.apply_event(now, message, MessageEvent.COMPLETED if outcome.finished else failed)
+
+    def probe_ended(self, now: float, listed: Route, outcome: Outcome) -> None:
+        """A probe counts as the trial of a half-open circuit."""
+        route: RouteState | None = listed.policy_state
+        if route and route.circuit is CircuitState.HALF_OPEN:
+            self.apply_signal(now, route, self.learn_from_outcome(now, route, outcome))
 
     def note_received(self, now: float, peer: int, data: bytes) -> None:
-        """Notes of peers are not used: they may be lost, and every rule can be kept alone."""
+        """Ignore it: notes of other instances may be lost, and every rule can be kept without them."""
 
     def timer_expired(self, now: float, name: str) -> None:
-        self.ticking = self.ticking and name != "sweep"
+        """Fetch the list at "ask"; "sweep" and "idle" only cause the turn that follows."""
+        self.sweep_timer_set = self.sweep_timer_set and name != "sweep"
         if name == "ask":
-            # 6 s after it fell silent, what a watch misses counts as told; a fifth is within a drain's grace.
-            self.asked = now
+            # A list update that a watch misses counts as received 6 s after the watch fell silent, and a
+            # timeout of 0.2 s is within the grace time of a drain.
+            self.list_fetched_at = now
             self.effects.append(interface.FetchList(watch=True, max_wait=2.0, timeout=0.2))
 
-    def message_withdrawn(self, now: float, mail: Message) -> None:
-        if mail.policy_state.stage is not MessageStage.FINISHED:
-            self.step(now, mail.policy_state, MessageEvent.COMPLETED)
+    def message_withdrawn(self, now: float, submitted: Message) -> None:
+        """Nobody waits for the message any more: it is finished unless it was before."""
+        if submitted.policy_state.stage is not MessageStage.FINISHED:
+            self.apply_event(now, submitted.policy_state, MessageEvent.COMPLETED)
 
-    def notice_acknowledged(self, now: float, mail: Message) -> None:
-        mail.policy_state.outstanding -= 1
-        self.pass_turn(now, mail.policy_state)
+    def notice_acknowledged(self, now: float, submitted: Message) -> None:
+        """Let the next message of the key go, now that the notice of this one is acknowledged."""
+        submitted.policy_state.outstanding -= 1
+        self.leave_key_queue(now, submitted.policy_state)
 
     def may_start(self, now: float, attempt: Attempt) -> bool:
-        """The one guard of all that is sent, first or not, once its connection is up."""
-        lane, case = attempt.policy_state.route_state, attempt.message.policy_state
+        """The one check of all that is sent, first attempt or retry, once its connection is up."""
+        route, message = attempt.policy_state.route, attempt.message.policy_state
         listed = (
             attempt.route.listed_state is interface.ListedState.UP
-            or now <= lane.drained_at + self.drain_grace
+            or now <= route.drained_at + self.drain_grace
         )
-        open_now = listed and max(lane.no_sends_until, lane.destination_state.wait_until) <= now
-        room = len(self.calls) + self.others.calls_in_flight <= self.slots and self.shared_windows_hold(lane)
-        return open_now and room and self.may_go(now, case) and self.has_turn(now, case)
+        open_now = listed and max(route.no_sends_until, route.destination.wait_until) <= now
+        fits = len(self.calls) + self.peer_load.calls_in_flight <= self.slots and self.fits_shared_windows(
+            route
+        )
+        return open_now and fits and self.may_attempt(now, message) and self.has_turn(now, message)
 
-    def begin_shutdown(self, now: float, left: float, keeps: bool = False) -> None:
-        """`keeps`: the next process takes over what waits when this one ends."""
-        self.sends_end_at = (
-            now + left / 2
-        )  # what is sent by then has as long again to end; others take the rest
-        self.keeps = keeps
+    def begin_shutdown(self, now: float, time_left: float, hands_over: bool = False) -> None:
+        """The process ends in `time_left` seconds; `hands_over`: the next one takes over what waits then."""
+        # What is sent by then has as long again to end; the rest goes to the others.
+        self.sends_end_at = now + time_left / 2
+        self.hands_over = hands_over
 
     def hold_sends(self, now: float, hold: bool) -> None:
-        """Nothing new is sent while what is sent cannot be recorded; what waits keeps its attempts."""
+        """Send nothing new while sends cannot be recorded; messages that wait keep their attempts."""
         self.sends_held = hold
 
-    def update_settings(self, now: float, tariff: interface.DeliverySettings) -> None:
-        """Other settings from now on: the limits on attempts and waits bind every mail from here."""
-        self.most_attempts, self.most_retry_after = tariff.max_attempts, tariff.max_retry_after
-        self.terms.clear()  # those of classes that are gone go with them; the mails that wait keep theirs
+    def update_settings(self, now: float, settings: interface.DeliverySettings) -> None:
+        """Apply the limits on attempts and waits of a reload to every message from now on."""
+        self.max_attempts, self.max_retry_after = settings.max_attempts, settings.max_retry_after
+        # Drops terms of queue classes that no longer exist, too; messages that wait keep theirs.
+        self.default_terms.clear()
 
-    def update_peer_load(self, now: float, others: interface.PeerLoad) -> None:
-        """Processes of a dispatcher are one to rules and limits: they share parts, slots, room and turns."""
-        before, self.others = self.others, others
-        self.part = 1.0 / (self.instances * (1 + others.processes))
+    def update_peer_load(self, now: float, peer_load: interface.PeerLoad) -> None:
+        """Share limits, slots, room and the order of keys with peer processes: to the rules all are one."""
+        before, self.peer_load = self.peer_load, peer_load
+        self.instance_fraction = 1.0 / (self.instances * (1 + peer_load.processes))
         for key in before.first_accepted_at:
-            if (turns := self.key_queues.get(key)) is not None:
-                self.wake(now, turns)
+            if (key_queue := self.key_queues.get(key)) is not None:
+                self.start_next_of_key(now, key_queue)
 
     def cool_down_key(self, now: float, key: str, until: float) -> None:
-        """Another process, or an earlier life, had a call of that key broken: it may still run."""
-        turns = self.key_queues.setdefault(key, KeyQueue(key))
-        if until > turns.cooldown_until:
-            turns.cooldown_until, turns.cooldown_exempt = until, None
-        self.wake(now, turns)
-
-    def route_failed_elsewhere(self, now: float, route: Route, at: float) -> None:
-        """Another process, or an earlier life, saw it fail at that time: a trial opens it here, too."""
-        lane: RouteState | None = route.policy_state
-        if lane and lane.circuit is CircuitState.CLOSED:
-            lane.circuit, lane.first_failed_at = CircuitState.OPEN, lane.first_failed_at or at
-            lane.failure_rate = max(
-                lane.failure_rate, 0.9
-            )  # still failing after a served trial, and so cold then
-            self.hold_off(at, lane)
-
-    def route_recovered_elsewhere(self, now: float, route: Route, back_at: float) -> None:
-        """Another process had it served again; it is cold from `back_at` on."""
-        if lane := route.policy_state:
-            if back_at > lane.recovered_at:
-                lane.recovered_at, lane.credit = back_at, 0.0
-            if lane.circuit is CircuitState.OPEN and lane.wait_until <= now:
-                lane.circuit, lane.backoff_until, lane.failure_rate = (
+        """Start no message of the key before `until`: a broken call of another process may still run."""
+        key_queue = self.key_queues.setdefault(key, KeyQueue(key))
+        if until > key_queue.cooldown_until:
+            key_queue.cooldown_until, key_queue.cooldown_exempt = until, None
+        self.start_next_of_key(now, key_queue)
+
+    def route_failed_elsewhere(self, now: float, listed: Route, at: float) -> None:
+        """Open the circuit that a peer or previous process opened at that time; a trial here closes it."""
+        route: RouteState | None = listed.policy_state
+        if route and route.circuit is CircuitState.CLOSED:
+            route.circuit, route.first_failed_at = CircuitState.OPEN, route.first_failed_at or at
+            # So high that the route still counts as failing after a served trial, and so as cold.
+            route.failure_rate = max(route.failure_rate, 0.9)
+            self.back_off(at, route)
+
+    def route_recovered_elsewhere(self, now: float, listed: Route, recovered_at: float) -> None:
+        """Close the circuit: another process had a call served. The route is cold from `recovered_at` on."""
+        if route := listed.policy_state:
+            if recovered_at > route.recovered_at:
+                route.recovered_at, route.credit = recovered_at, 0.0
+            if route.circuit is CircuitState.OPEN and route.wait_until <= now:
+                route.circuit, route.backoff_until, route.failure_rate = (
                     CircuitState.CLOSED,
                     0.0,
-                    min(0.4, lane.failure_rate),
+                    min(0.4, route.failure_rate),
                 )
 
-    def route_requested_wait(self, now: float, route: Route, wait: float) -> None:
-        """By a call of this process, or of another one of this dispatcher that hands over."""
-        if lane := route.policy_state:
-            bound = lane if route.kind.limits_per_route else lane.destination_state
-            bound.wait_until = max(bound.wait_until, now + wait)
+    def route_requested_wait(self, now: float, listed: Route, wait: float) -> None:
+        """Send nothing for `wait` seconds, as a call of this process or of a peer process was asked."""
+        if route := listed.policy_state:
+            limited = route if listed.kind.limits_per_route else route.destination
+            limited.wait_until = max(limited.wait_until, now + wait)
 
     @property
-    def full(self) -> bool:
-        """Whether no slot is free; a process that ends leaves half of them to the one that takes over."""
-        half = self.others.processes > 0 and self.sends_end_at < inf
+    def slots_full(self) -> bool:
+        """Whether no slot is free. A process that ends leaves half of them to the one that takes over."""
+        half = self.peer_load.processes > 0 and self.sends_end_at < inf
         most = max(1, self.slots // 2) if half else self.slots
-        return len(self.calls) >= min(most, self.slots - self.others.calls_in_flight)
+        return len(self.calls) >= min(most, self.slots - self.peer_load.calls_in_flight)
 
-    def shared_windows_hold(self, lane: RouteState, more: int = 0) -> bool:
-        """Whether operators' windows hold the calls of all processes, and so many more of this one."""
-        line, calls_to = lane.destination_state, self.others.calls_by_route
-        if not calls_to:
+    def fits_shared_windows(self, route: RouteState, more: int = 0) -> bool:
+        """Whether the operators' windows hold the calls of all processes and `more` calls of this one."""
+        destination, peer_calls = route.destination, self.peer_load.calls_by_route
+        if not peer_calls:
             return True
-        to_route = len(lane.calls) + calls_to.get(lane.route.name, 0)
-        to_owner = line.calls_in_flight + sum(calls_to.get(route.name, 0) for route in line.route_states)
-        return to_route + more <= lane.route.window and to_owner + more <= line.destination.window
+        to_route = len(route.calls) + peer_calls.get(route.listed.name, 0)
+        to_destination = destination.calls_in_flight + sum(
+            peer_calls.get(listed.name, 0) for listed in destination.routes
+        )
+        return to_route + more <= route.listed.window and to_destination + more <= destination.listed.window
 
     def excluded_routes(self, now: float) -> int:
-        """Routes listed as up that get no share now: shut, on trial, or told to wait."""
-        lanes = (lane for line in self.destination_states.values() for lane in line.route_states.values())
-        return sum(lane.circuit is not CircuitState.CLOSED or lane.no_sends_until > now for lane in lanes)
+        """Routes listed as up that get no share now: circuit not closed, in backoff, or in a wait."""
+        routes = (
+            route for destination in self.destination_states.values() for route in destination.routes.values()
+        )
+        return sum(route.circuit is not CircuitState.CLOSED or route.no_sends_until > now for route in routes)
 
     def turn(self, now: float) -> list[interface.Effect]:
-        self.overdue(now)
-        while self.idle and self.idle[0][0] <= now - self.keep:
-            used, lane = self.idle.popleft()
-            if lane.last_call_ended_at == used:
-                self.effects.append(interface.CloseIdleConnections(lane.route))
-        while self.resting and self.resting[0][0] <= now:
-            self.wake(now, heapq.heappop(self.resting)[2])
-        # Guards memory against mails that are over long before their lifetime: at most as many as are held.
-        if len(self.ends) > 2 * self.pending_count + 64:
-            self.ends = [each for each in self.ends if each[2].stage is not MessageStage.FINISHED]
-            heapq.heapify(self.ends)
-        gives_up = now >= self.sends_end_at and not self.keeps
-        while self.ends and (gives_up or self.ends[0][0] <= now + self.tick):
-            case = heapq.heappop(self.ends)[2]
-            if case.stage is MessageStage.WAITING:
-                self.step(now, case, MessageEvent.GIVEN_UP)
-        self.send(now)
-        while self.copies and self.copies[0][0] <= now:
-            self.copy(now, heapq.heappop(self.copies)[2])
+        """Decide on everything that is due, and return the effects since the last turn."""
+        self.handle_overdue_calls(now)
+        while self.idle_routes and self.idle_routes[0][0] <= now - self.keep_idle_time:
+            ended_at, route = self.idle_routes.popleft()
+            if route.last_call_ended_at == ended_at:
+                self.effects.append(interface.CloseIdleConnections(route.listed))
+        while self.cooldowns and self.cooldowns[0][0] <= now:
+            self.start_next_of_key(now, heapq.heappop(self.cooldowns)[2])
+        # Bounds the memory for messages that finish long before their lifetime ends: at most about as many
+        # entries of finished messages are kept as of pending ones.
+        if len(self.expiries) > 2 * self.pending_count + 64:
+            self.expiries = [each for each in self.expiries if each[2].stage is not MessageStage.FINISHED]
+            heapq.heapify(self.expiries)
+        gives_all_up = now >= self.sends_end_at and not self.hands_over
+        while self.expiries and (gives_all_up or self.expiries[0][0] <= now + self.sweep_interval):
+            message = heapq.heappop(self.expiries)[2]
+            if message.stage is MessageStage.WAITING:
+                self.apply_event(now, message, MessageEvent.GIVEN_UP)
+        self.send_queued(now)
+        while self.hedges_due and self.hedges_due[0][0] <= now:
+            self.send_hedge(now, heapq.heappop(self.hedges_due)[2])
         self.make_room(now)
-        if self.pending_count and not self.ticking:
-            self.effects.append(interface.StartTimer(self.tick, "sweep"))
-            self.ticking = True
+        if self.pending_count and not self.sweep_timer_set:
+            self.effects.append(interface.StartTimer(self.sweep_interval, "sweep"))
+            self.sweep_timer_set = True
         effects, self.effects = self.effects, []
         return effects
 
-    def reading(self, now: float, lane: RouteState, outcome: Outcome) -> RouteSignal:
-        """What an outcome says of its route."""
-        self.refill(now, lane)
+    def learn_from_outcome(self, now: float, route: RouteState, outcome: Outcome) -> RouteSignal:
+        """Update what is known of a route by an outcome, and return what the outcome says of it."""
+        self.refill_credit(now, route)
         if outcome.advertised_rate is not None:
-            lane.advertised_rate, lane.advertised_left = outcome.advertised_rate, outcome.advertised_left
-        if outcome.requested_wait:  # binds whatever else the call was: a late answer, or one beside a trial
-            self.route_requested_wait(now, lane.route, outcome.requested_wait)
+            route.advertised_rate, route.advertised_left = outcome.advertised_rate, outcome.advertised_left
+        if outcome.requested_wait:  # binding for every call: a late response, too, or one beside a trial
+            self.route_requested_wait(now, route.listed, outcome.requested_wait)
         if outcome.result in (AttemptResult.MOOT, AttemptResult.CANCELLED):
             return RouteSignal.NO_EVIDENCE
-        # Guards against connections closed at rest, unseen until their next call; sooner it is chance.
+        # A receiver may close an idle connection, which shows only at its next call: that is no failure of
+        # the route, and later connections are not reused after so long. A reset after less is taken for
+        # chance.
         if outcome.result is AttemptResult.RESET and outcome.connection_idle_time > 0.1:
-            self.rest, self.broke = max(0.1, 0.75 * outcome.connection_idle_time), now
+            self.safe_idle_time, self.idle_reset_at = max(0.1, 0.75 * outcome.connection_idle_time), now
             return RouteSignal.NO_EVIDENCE
-        good = outcome.result is AttemptResult.SERVED
+        served = outcome.result is AttemptResult.SERVED
         if (
-            self.seldom
+            self.sparse_traffic
             and outcome.result is AttemptResult.NO_CONNECTION
-            and lane.circuit is CircuitState.CLOSED
+            and route.circuit is CircuitState.CLOSED
         ):
-            self.keep = max(0.1, 0.25 * self.keep)  # grown slowly: a full table costs one in a hundred
-        elif good:
-            self.keep = min(self.idle_time, 1.01 * self.keep) if self.seldom else self.keep
-            lane.first_refused_at = lane.destination_state.first_refused_at = 0.0
-            lane.refusal_backoff, lane.destination_state.refusal_backoff = (
-                0.8 * lane.refusal_backoff,
-                0.8 * lane.destination_state.refusal_backoff,
+            # Cut to a quarter here and grown by one in a hundred below, so that a full connection table is
+            # met by about one call in a hundred.
+            self.keep_idle_time = max(0.1, 0.25 * self.keep_idle_time)
+        elif served:
+            self.keep_idle_time = (
+                min(self.max_idle_time, 1.01 * self.keep_idle_time)
+                if self.sparse_traffic
+                else self.keep_idle_time
             )
-        used_up = (
-            outcome.result is AttemptResult.REFUSED and lane.advertised_rate and lane.advertised_left < 0.5
+            route.first_refused_at = route.destination.first_refused_at = 0.0
+            route.refusal_backoff, route.destination.refusal_backoff = (
+                0.8 * route.refusal_backoff,
+                0.8 * route.destination.refusal_backoff,
+            )
+        limit_used_up = (
+            outcome.result is AttemptResult.REFUSED and route.advertised_rate and route.advertised_left < 0.5
+        )
+        never_connected = (
+            outcome.result is AttemptResult.NO_CONNECTION and outcome.duration > 0.9 * self.connect_timeout
         )
-        never = outcome.result is AttemptResult.NO_CONNECTION and outcome.duration > 0.9 * self.connect_time
-        silent = self.seldom and (never or outcome.result is AttemptResult.TIMEOUT)
+        silent = self.sparse_traffic and (never_connected or outcome.result is AttemptResult.TIMEOUT)
         if silent:
-            rest = self.apart(now - (lane.first_failed_at or now), self.rate(lane), 4.0)
-            lane.backoff_until = max(lane.backoff_until, now + rest * (0.5 + self.chance()))
-        elif outcome.result is AttemptResult.NO_CONNECTION and self.many:
-            # It used up no limit, and idle connections of the others soon give way: a moment, each its own.
-            lane.wait_until = max(lane.wait_until, now + 0.1 + 0.2 * self.chance())
-        elif self.seldom and outcome.result is AttemptResult.REFUSED:
-            # What one seldom meets teaches no part of its limit: each comes again after a rest of its own.
-            bound = lane if lane.route.kind.limits_per_route else lane.destination_state
-            bound.first_refused_at = bound.first_refused_at or now
-            rate = self.rate(lane) * (
-                1 if lane.route.kind.limits_per_route else len(lane.destination_state.route_states)
+            backoff = self.shared_retry_interval(
+                now - (route.first_failed_at or now), self.route_rate(route), 4.0
             )
-            even = 1 / (rate * self.part) if rate else 2.0
-            bound.refusal_backoff = min(max(4.0, 3 * bound.refusal_backoff), max(1.0, 2 * even))
-            rest = max(bound.refusal_backoff, self.apart(now - bound.first_refused_at, rate)) * (
-                0.5 + self.chance()
+            route.backoff_until = max(route.backoff_until, now + backoff * (0.5 + self.random_fraction()))
+        elif outcome.result is AttemptResult.NO_CONNECTION and self.many_instances:
+            # It used up none of the receiver's limit, and idle connections of other instances soon make room:
+            # wait for 0.1 to 0.3 s, each instance for a time of its own.
+            route.wait_until = max(route.wait_until, now + 0.1 + 0.2 * self.random_fraction())
+        elif self.sparse_traffic and outcome.result is AttemptResult.REFUSED:
+            # An instance that calls a route rarely cannot learn its fraction of the limit from refusals: each
+            # comes again after a backoff of its own.
+            limited = route if route.listed.kind.limits_per_route else route.destination
+            limited.first_refused_at = limited.first_refused_at or now
+            rate = self.route_rate(route) * (
+                1 if route.listed.kind.limits_per_route else len(route.destination.routes)
             )
-            if (
-                outcome.requested_wait > rest
-            ):  # shut: it tells all that it turns away the same end, and is cold then
-                rest = (
+            even_interval = 1 / (rate * self.instance_fraction) if rate else 2.0
+            limited.refusal_backoff = min(max(4.0, 3 * limited.refusal_backoff), max(1.0, 2 * even_interval))
+            backoff = max(
+                limited.refusal_backoff, self.shared_retry_interval(now - limited.first_refused_at, rate)
+            ) * (0.5 + self.random_fraction())
+            if outcome.requested_wait > backoff:
+                # The receiver is closed: it tells everyone whom it turns away the same end, and is cold then.
+                backoff = (
                     outcome.requested_wait
-                    + self.apart(now + outcome.requested_wait - bound.first_refused_at, rate) * self.chance()
+                    + self.shared_retry_interval(
+                        now + outcome.requested_wait - limited.first_refused_at, rate
+                    )
+                    * self.random_fraction()
                 )
                 for each in (
-                    (lane,)
-                    if lane.route.kind.limits_per_route
-                    else lane.destination_state.route_states.values()
+                    (route,) if route.listed.kind.limits_per_route else route.destination.routes.values()
                 ):
-                    each.recovered_at = now + rest
-                    self.effects.append(interface.RouteRecovered(each.route, each.recovered_at))
-            bound.wait_until = max(bound.wait_until, now + rest)
-            lane.rate_factor = max(0.1, 0.5 * lane.rate_factor)
-            lane.credit = min(0.0, lane.credit) + 0.5 - self.chance()
-        elif not good:
-            # Take less, down to a tenth: where refused calls use up a limit too, instances that each keep to
-            # their part can hold it at nothing. Half a call more or less, lest all come again at once.
-            lane.rate_factor = max(0.1, lane.rate_factor * (0.4 if self.many else 0.7 if used_up else 0.9))
-            if used_up or self.many:
-                lane.credit = min(0.0, lane.credit) + 0.5 - self.chance()
-        elif lane.advertised_left > 0.5:
-            # Others leave much of the limit: take more of it, up to the own part fast.
-            lane.rate_factor = min(1 / self.part, lane.rate_factor * (1.25 if lane.rate_factor < 1 else 1.05))
-        table = (
-            outcome.result is AttemptResult.NO_CONNECTION and lane.last_response_at > now - outcome.duration
-        )
-        if not used_up and not table:  # a limit used up, or connections beside answered calls, is no outage
-            quiet = (
-                silent if self.seldom else outcome.result is AttemptResult.TIMEOUT and self.quiet(now, lane)
+                    each.recovered_at = now + backoff
+                    self.effects.append(interface.RouteRecovered(each.listed, each.recovered_at))
+            limited.wait_until = max(limited.wait_until, now + backoff)
+            route.rate_factor = max(0.1, 0.5 * route.rate_factor)
+            route.credit = min(0.0, route.credit) + 0.5 - self.random_fraction()
+        elif not served:
+            # Send less, down to a tenth: where refused calls use up a limit as well, instances that each
+            # keep to their fraction of it can leave it at zero for good. The credit is moved by up to half a
+            # call at random, so that instances do not all come again at once.
+            route.rate_factor = max(
+                0.1, route.rate_factor * (0.4 if self.many_instances else 0.7 if limit_used_up else 0.9)
+            )
+            if limit_used_up or self.many_instances:
+                route.credit = min(0.0, route.credit) + 0.5 - self.random_fraction()
+        elif route.advertised_left > 0.5:
+            # Other instances leave much of the limit unused: send more, and fast up to the own fraction.
+            route.rate_factor = min(
+                1 / self.instance_fraction, route.rate_factor * (1.25 if route.rate_factor < 1 else 1.05)
+            )
+        # The receiver's connection table was full: it responded to another call during this connect.
+        table_full = (
+            outcome.result is AttemptResult.NO_CONNECTION and route.last_response_at > now - outcome.duration
+        )
+        if not limit_used_up and not table_full:  # neither of the two is an outage
+            unresponsive = (
+                silent
+                if self.sparse_traffic
+                else outcome.result is AttemptResult.TIMEOUT and self.is_unresponsive(now, route)
+            )
+            # Calls without a response weigh more: two of them must suffice to open the circuit.
+            route.failure_rate += (0.5 if unresponsive else 0.3) * (
+                (0.0 if served else 1.0) - route.failure_rate
+            )
+        if not served:
+            route.first_failed_at = route.first_failed_at or now
+            route.first_outage_at = route.first_outage_at or (
+                0.0 if table_full or outcome.result is AttemptResult.REFUSED else now
             )
-            lane.failure_rate += (0.5 if quiet else 0.3) * (
-                (0.0 if good else 1.0) - lane.failure_rate
-            )  # two silent must do
-        if not good:
-            lane.first_failed_at = lane.first_failed_at or now
-            lane.first_outage_at = lane.first_outage_at or (
-                0.0 if table or outcome.result is AttemptResult.REFUSED else now
+        elif route.circuit is CircuitState.CLOSED:
+            # More messages queued behind a silent route than the destination has routes.
+            backlogged = route.backoff_until > route.first_outage_at and route.destination.queue_length > len(
+                route.destination.routes
             )
-        elif lane.circuit is CircuitState.CLOSED:
-            held = lane.backoff_until > lane.first_outage_at and lane.destination_state.queue_length > len(
-                lane.destination_state.route_states
-            )  # behind a silent route
+            # With many instances the circuit may have stayed closed during an outage: the route is cold, too.
             if (
-                self.many
-                and 0 < lane.first_outage_at < now - 1
-                and (held if self.seldom else lane.failure_rate > 0.2)
-            ):  # cold
-                lane.recovered_at, lane.credit = now, 0.0
-                self.effects.append(interface.RouteRecovered(lane.route, now))
-            lane.first_failed_at = lane.first_outage_at = 0.0
-        bad = (
+                self.many_instances
+                and 0 < route.first_outage_at < now - 1
+                and (backlogged if self.sparse_traffic else route.failure_rate > 0.2)
+            ):
+                route.recovered_at, route.credit = now, 0.0
+                self.effects.append(interface.RouteRecovered(route.listed, now))
+            route.first_failed_at = route.first_outage_at = 0.0
+        failure = (
             RouteSignal.WAIT_REQUESTED
             if outcome.requested_wait
             else RouteSignal.FAILURE_RUN
-            if self.failing(lane)
+            if self.is_failing(route)
             else RouteSignal.FAILED
         )
-        return RouteSignal.SERVED if good else bad
+        return RouteSignal.SERVED if served else failure
 
-    def failing(self, lane: RouteState) -> bool:
-        return (
-            lane.failure_rate > 0.6
-        )  # three in a row, or most of the last few; a tenth of chance errors never is
+    def is_failing(self, route: RouteState) -> bool:
+        """Whether three calls failed in a row, or most of the last few; one error in ten never suffices."""
+        return route.failure_rate > 0.6
 
-    def judge(self, now: float, call: Call, outcome: Outcome) -> None:
-        """The first outcome of a call speaks for its route and for the destination's window."""
-        lane, line = call.route_state, call.route_state.destination_state
+    def evaluate_call(self, now: float, call: Call, outcome: Outcome) -> None:
+        """Apply the first outcome of a call to its route and to the destination's window."""
+        route, destination = call.route, call.route.destination
         if outcome.result is AttemptResult.SERVED:
-            lane.durations.add(outcome.duration)
-            self.tally.add(outcome.duration)
+            route.durations.add(outcome.duration)
+            self.durations.add(outcome.duration)
         if call.evaluated and not outcome.requested_wait:
-            # Slow is not silent: an answer takes back what its own lateness said, if that failed first.
+            # A slow route is not a silent one: a served call takes back the failure that its own lateness
+            # counted as, if that was the first one.
             if (
                 call.overdue
                 and outcome.result is AttemptResult.SERVED
-                and lane.first_failed_at >= call.sent_at
+                and route.first_failed_at >= call.sent_at
             ):
-                lane.backoff_until, lane.first_failed_at, lane.first_outage_at, lane.failure_rate = (
+                route.backoff_until, route.first_failed_at, route.first_outage_at, route.failure_rate = (
                     0.0,
                     0.0,
                     0.0,
-                    min(0.3, lane.failure_rate),
+                    min(0.3, route.failure_rate),
                 )
             return
         call.evaluated = True
-        sign = self.reading(now, lane, outcome)
-        if sign is RouteSignal.SERVED:
-            line.window = min(self.cap, line.destination.window, line.window + 1)
-        elif sign is not RouteSignal.NO_EVIDENCE and call.sent_at >= line.window_halved_at:
-            line.window, line.window_halved_at = max(1.0, line.window / 2), now
-        if call.trial or lane.circuit is not CircuitState.HALF_OPEN:
-            self.sign(now, lane, sign)
-
-    def sign(self, now: float, lane: RouteState, sign: RouteSignal) -> None:
-        if (lane.circuit, sign) in CIRCUIT_TRANSITIONS:
-            lane.circuit, effect = CIRCUIT_TRANSITIONS[lane.circuit, sign]
+        signal = self.learn_from_outcome(now, route, outcome)
+        if signal is RouteSignal.SERVED:
+            destination.window = min(
+                self.max_destination_calls, destination.listed.window, destination.window + 1
+            )
+        elif signal is not RouteSignal.NO_EVIDENCE and call.sent_at >= destination.window_halved_at:
+            destination.window, destination.window_halved_at = max(1.0, destination.window / 2), now
+        if call.trial or route.circuit is not CircuitState.HALF_OPEN:
+            self.apply_signal(now, route, signal)
+
+    def apply_signal(self, now: float, route: RouteState, signal: RouteSignal) -> None:
+        """Change the circuit of a route by CIRCUIT_TRANSITIONS; other signals change nothing."""
+        if (route.circuit, signal) in CIRCUIT_TRANSITIONS:
+            route.circuit, effect = CIRCUIT_TRANSITIONS[route.circuit, signal]
             if effect:
-                getattr(self, effect)(now, lane)
-
-    def shut(self, now: float, lane: RouteState) -> None:
-        self.effects.append(interface.RouteFailed(lane.route))
-        self.hold_off(now, lane)
-
-    def hold_off(self, now: float, lane: RouteState) -> None:
-        # Half a second, growing by half up to two; of many, up to what all may send to a cold route together.
-        cold = self.rate(lane) * self.part * self.cold * self.start
-        most = 1 / cold if cold and self.many and not self.seldom else 2.0
-        others = self.apart(now - (lane.first_failed_at or now), self.rate(lane), 2.0) if self.seldom else 0.0
-        lane.trial_backoff, lane.opened_by_failures = (
-            max(0.5, min(most, lane.trial_backoff * 1.5), others),
-            self.failing(lane),
+                getattr(self, effect)(now, route)
+
+    def open_circuit(self, now: float, route: RouteState) -> None:
+        """Report the failure to peer processes, and back off."""
+        self.effects.append(interface.RouteFailed(route.listed))
+        self.back_off(now, route)
+
+    def back_off(self, now: float, route: RouteState) -> None:
+        """Set when the next trial may go."""
+        # 0.5 s, growing by half each time up to 2 s. With many instances up to the interval at which all of
+        # them together send what a cold route bears.
+        cold_rate = (
+            self.route_rate(route) * self.instance_fraction * self.cold_load_factor * self.start_capacity
+        )
+        most = 1 / cold_rate if cold_rate and self.many_instances and not self.sparse_traffic else 2.0
+        shared_interval = (
+            self.shared_retry_interval(now - (route.first_failed_at or now), self.route_rate(route), 2.0)
+            if self.sparse_traffic
+            else 0.0
+        )
+        route.trial_backoff, route.opened_by_failures = (
+            max(0.5, min(most, route.trial_backoff * 1.5), shared_interval),
+            self.is_failing(route),
+        )
+        route.backoff_until = max(
+            route.backoff_until, now + route.trial_backoff * (0.75 + 0.5 * self.random_fraction())
         )
-        lane.backoff_until = max(lane.backoff_until, now + lane.trial_backoff * (0.75 + 0.5 * self.chance()))
 
-    def apart(self, since: float, rate: float, clump: float = 0.0) -> float:
-        """Seconds between the calls of one that was failed for so long, beside others that were, too.
+    def shared_retry_interval(self, failing_time: float, rate: float, burst: float = 0.0) -> float:
+        """Seconds between calls to a route that has failed for `failing_time`, beside other instances.
 
-        Those that saw it fail, as many as met it since, must not be the greater part of what it gets then:
-        they come as often, together, as those that did not. Once all did, they send what a cold route bears.
+        Instances that saw it fail, as many as called it since, must not make up the greater part of what it
+        gets when it recovers: together they call as often as those that did not. Once all saw it, they send
+        what a cold route bears. `rate`: calls a second that the route takes from all instances; `burst`:
+        seconds' worth of calls that may have met the failure at about the same time, each from a sender of
+        its own.
         """
-        own, cold = rate * self.part, self.cold * self.start
-        seen = min(1.0, own * since)
-        # A clump of so many seconds' worth may have run into it, each sender of it at about the same time.
-        least = max(2 * since / (1 - seen) if seen < 1 else inf, clump / cold)
-        return min(least, 1 / (own * cold) if own else 0.0)
-
-    def reopen(self, now: float, lane: RouteState) -> None:
-        # An outage, not a mere wait. The trial that is served says nothing of what was: weighed with it,
-        # outages of under three seconds passed for none. Of many, a full table of connections is none.
+        own_rate, cold_load = rate * self.instance_fraction, self.cold_load_factor * self.start_capacity
+        saw_fraction = min(1.0, own_rate * failing_time)  # of all instances
+        least = max(2 * failing_time / (1 - saw_fraction) if saw_fraction < 1 else inf, burst / cold_load)
+        return min(least, 1 / (own_rate * cold_load) if own_rate else 0.0)
+
+    def close_circuit(self, now: float, route: RouteState) -> None:
+        """Use a route again after a served trial: cold after an outage, but not after a mere wait."""
+        # The served trial says nothing of the time before: when it was weighed with the failures, outages of
+        # under three seconds were not recognized. With many instances, a full connection table is no outage.
         cold = (
-            self.failing(lane)
-            if self.many and not self.seldom
-            else lane.opened_by_failures or lane.first_outage_at > 0
+            self.is_failing(route)
+            if self.many_instances and not self.sparse_traffic
+            else route.opened_by_failures or route.first_outage_at > 0
         )
-        lane.opened_by_failures = lane.opened_by_failures and self.seldom
+        route.opened_by_failures = route.opened_by_failures and self.sparse_traffic
         if cold:
-            lane.recovered_at = now
-        self.effects.append(interface.RouteRecovered(lane.route, now if cold else 0.0))
-        lane.first_failed_at = lane.first_outage_at = lane.trial_backoff = lane.credit = 0.0
-        lane.failure_rate = min(0.4, lane.failure_rate)
-
-    def slow_start(self, now: float, lane: RouteState) -> float:
-        """The part of its capacity that a route has at least."""
-        return min(1.0, self.start + (1 - self.start) * max(0.0, now - lane.recovered_at) / self.warm_time)
-
-    def bears(self, now: float, lane: RouteState) -> float:
-        """The part of what comes in for a route that may go to it."""
-        slow_start = self.slow_start(now, lane)
-        return lane.rate_factor if slow_start == 1 else min(lane.rate_factor, self.cold * slow_start)
-
-    def rate(self, lane: RouteState) -> float:
-        """Calls a second that the route takes from all instances, as far as known; nought if unknown."""
-        parts = 1 if lane.route.kind.limits_per_route else len(lane.destination_state.route_states)
-        return lane.advertised_rate or lane.route.listed_rate * self.rate_trust / max(1, parts)
-
-    def share(self, now: float, lane: RouteState, rate: float) -> float:
-        # Guards mails against a route gone silent: while it owes an answer that is due, it hardly gets any.
-        silence = 0.1 if self.quiet(now, lane) else 1.0
-        # Guards slots, while few are free, against routes that hold them long: half the time, fourfold share.
-        scarce = lane.slot_time and 4 * len(self.calls) > 3 * self.slots
-        thrift = (lane.destination_state.slot_time / lane.slot_time) ** 2 if scarce else 1.0
-        # What costs a twentieth of a mail more, in fees or for a handshake, gets two fifths of the share.
-        new = lane.calls or now - lane.last_call_ended_at > self.keep
-        cost = self.fees.get(lane.route.zone, 0.0) + (self.handshake if new and self.seldom else 0.0)
+            route.recovered_at = now
+        self.effects.append(interface.RouteRecovered(route.listed, now if cold else 0.0))
+        route.first_failed_at = route.first_outage_at = route.trial_backoff = route.credit = 0.0
+        route.failure_rate = min(0.4, route.failure_rate)
+
+    def slow_start(self, now: float, route: RouteState) -> float:
+        """The fraction of its capacity that a route has at least: 1 once it is warm."""
+        return min(
+            1.0,
+            self.start_capacity
+            + (1 - self.start_capacity) * max(0.0, now - route.recovered_at) / self.warm_time,
+        )
+
+    def sendable_fraction(self, now: float, route: RouteState) -> float:
+        """The fraction of the messages coming in for a route that may be sent over it."""
+        slow_start = self.slow_start(now, route)
+        return (
+            route.rate_factor
+            if slow_start == 1
+            else min(route.rate_factor, self.cold_load_factor * slow_start)
+        )
+
+    def route_rate(self, route: RouteState) -> float:
+        """Calls a second that the route takes from all instances, as far as known; zero if unknown."""
+        sharing_routes = 1 if route.listed.kind.limits_per_route else len(route.destination.routes)
+        return route.advertised_rate or route.listed.listed_rate * self.listed_rate_trust / max(
+            1, sharing_routes
+        )
+
+    def share(self, now: float, route: RouteState, rate: float) -> float:
+        """The weight of a route in the draw. `rate`: calls a second, or a substitute if not known."""
+        # A route whose response is due and missing gets hardly any messages.
+        silence = 0.1 if self.is_unresponsive(now, route) else 1.0
+        # While few slots are free, routes that hold them for long get less: half the time, four times the
+        # share.
+        slots_scarce = route.slot_time and 4 * len(self.calls) > 3 * self.slots
+        thrift = (route.destination.slot_time / route.slot_time) ** 2 if slots_scarce else 1.0
+        # A route that costs a twentieth of a message more, in fees or for a handshake, gets two fifths of the
+        # share.
+        needs_connection = route.calls or now - route.last_call_ended_at > self.keep_idle_time
+        cost = self.zone_fees.get(route.listed.zone, 0.0) + (
+            self.handshake_cost if needs_connection and self.sparse_traffic else 0.0
+        )
         return (
             rate
-            * min(1.0, lane.rate_factor)
-            * self.slow_start(now, lane)
+            * min(1.0, route.rate_factor)
+            * self.slow_start(now, route)
             * silence
             * thrift
             * exp(-20 * cost)
         )
 
-    def quiet(self, now: float, lane: RouteState) -> bool:
-        """Whether it owes an answer past what nine in ten take (a third of the limit), with none since."""
+    def is_unresponsive(self, now: float, route: RouteState) -> bool:
+        """Whether a call takes longer than nine in ten, with no response of the route since it was sent.
+
+        What nine in ten calls stay under is a third of the time after which a call is overdue.
+        """
         return any(
             now - call.sent_at > call.overdue_after / 3
-            for call in lane.calls
-            if lane.last_response_at < call.sent_at
-        )
-
-    def refill(self, now: float, lane: RouteState) -> None:
-        """One budget of calls keeps this instance to its part of a limit, and of what a cold route bears."""
-        if lane.rate_factor < 1:  # ten seconds undo any shrinking; a hundred of many, where no room was told
-            slow = self.many and not (lane.advertised_rate and lane.advertised_left > 0.5)
-            grow = 0.1 if not slow else 0.035 if self.seldom else 0.01
-            lane.rate_factor = min(1.0, lane.rate_factor + grow * (now - lane.refilled_at))
-        if lane.circuit is CircuitState.CLOSED:
-            lane.failure_rate *= 0.8 ** (now - lane.refilled_at)
-        fill = self.rate(lane) * self.part * self.bears(now, lane)
-        free = self.slow_start(now, lane) == 1 and (
-            lane.rate_factor >= 1 if self.many else lane.advertised_rate == 0
-        )
-        if free or not fill:
-            paced = self.many and lane.recovered_at > -inf and fill  # no one sends more than all of its rate
-            lane.credit = min(1.0, lane.credit + self.rate(lane) * (now - lane.refilled_at)) if paced else 1.0
+            for call in route.calls
+            if route.last_response_at < call.sent_at
+        )
+
+    def refill_credit(self, now: float, route: RouteState) -> None:
+        """Bring a route's token bucket, rate factor and failure rate up to date.
+
+        The bucket keeps this instance to its fraction of the route's limit, and of what a cold route bears.
+        """
+        if route.rate_factor < 1:
+            # Back to 1 from anywhere within ten seconds; with many instances within a hundred (29 where
+            # traffic is sparse), unless the receiver advertised that much of its limit is left.
+            slow = self.many_instances and not (route.advertised_rate and route.advertised_left > 0.5)
+            growth = 0.1 if not slow else 0.035 if self.sparse_traffic else 0.01
+            route.rate_factor = min(1.0, route.rate_factor + growth * (now - route.refilled_at))
+        if route.circuit is CircuitState.CLOSED:
+            route.failure_rate *= 0.8 ** (now - route.refilled_at)
+        fill_rate = self.route_rate(route) * self.instance_fraction * self.sendable_fraction(now, route)
+        free = self.slow_start(now, route) == 1 and (
+            route.rate_factor >= 1 if self.many_instances else route.advertised_rate == 0
+        )
+        if free or not fill_rate:
+            # After an outage no instance alone sends more than the whole rate of the route.
+            paced = self.many_instances and route.recovered_at > -inf and fill_rate
+            route.credit = (
+                min(1.0, route.credit + self.route_rate(route) * (now - route.refilled_at)) if paced else 1.0
+            )
         else:
-            lane.credit = min(max(1.0, fill * 0.5), lane.credit + fill * (now - lane.refilled_at))
-        lane.refilled_at = now
+            route.credit = min(
+                max(1.0, fill_rate * 0.5), route.credit + fill_rate * (now - route.refilled_at)
+            )
+        route.refilled_at = now
 
-    def overdue(self, now: float) -> None:
-        """A call that takes far longer than usual speaks before its time-out does, and may lose its slot."""
-        full = self.full
+    def handle_overdue_calls(self, now: float) -> None:
+        """Count calls that take far longer than usual as failed before they time out, and cancel some."""
+        full = self.slots_full
         for call in self.calls:
-            # With all slots taken, twice what nine in ten stay under must do for a call of one mail.
+            # With all slots taken, a call of one message is overdue after about twice what nine in ten calls
+            # stay under, instead of three times.
             soon = full and len(call.attempts) == 1 and not call.once_only
             if not call.evaluated and now - call.sent_at > call.overdue_after * (0.6 if soon else 1):
-                self.judge(now, call, Outcome(AttemptResult.TIMEOUT, now - call.sent_at))
-                call.overdue, call.route_state.destination_state.overdue_calls = (
+                self.evaluate_call(now, call, Outcome(AttemptResult.TIMEOUT, now - call.sent_at))
+                call.overdue, call.route.destination.overdue_calls = (
                     True,
-                    call.route_state.destination_state.overdue_calls + 1,
+                    call.route.destination.overdue_calls + 1,
                 )
-        # Guards slots and keys against silence: an overdue call gives way when all slots are taken (that of a
-        # once-only mail at twice its limit), and at once where its route went to nought in silence.
-        stuck = [call for call in self.calls if call.overdue]
-        for call in stuck if self.may_cancel else []:
+        # Silent calls must not hold slots and keys. An overdue call is cancelled when all slots are taken,
+        # that of a once-only message only after twice its limit; and at once where its route's circuit
+        # opened while the route was silent.
+        overdue_calls = [call for call in self.calls if call.overdue]
+        for call in overdue_calls if self.may_cancel else []:
             lost = (
-                call.route_state.circuit is not CircuitState.CLOSED
-                and call.route_state.last_response_at < call.sent_at
+                call.route.circuit is not CircuitState.CLOSED
+                and call.route.last_response_at < call.sent_at
                 and not call.once_only
             )
-            far = not call.once_only or now - call.sent_at > 2 * call.overdue_after
+            long_overdue = not call.once_only or now - call.sent_at > 2 * call.overdue_after
             if (
                 lost
-                or (full and far)
-                or call.route_state.destination_state.overdue_calls > max(1, self.sick_cap // 2)
+                or (full and long_overdue)
+                or call.route.destination.overdue_calls > max(1, self.max_failing_destination_calls // 2)
             ):
-                call.overdue, call.route_state.destination_state.overdue_calls = (
+                call.overdue, call.route.destination.overdue_calls = (
                     False,
-                    call.route_state.destination_state.overdue_calls - 1,
+                    call.route.destination.overdue_calls - 1,
                 )
                 self.effects += [
                     interface.Cancel(attempt)
@@ -693,312 +841,408 @@
                 ]
                 break
 
-    def step(self, now: float, case: MessageState, step: MessageEvent) -> None:
-        case.stage, effect = MESSAGE_TRANSITIONS[case.stage, step]
-        self.pending_count -= case.stage is MessageStage.FINISHED
-        if case.queued:
-            case.destination_state.queue_length, case.queued = case.destination_state.queue_length - 1, False
-            if not case.destination_state.queue_length:
-                del self.busy[case.destination_state]
+    def apply_event(self, now: float, message: MessageState, event: MessageEvent) -> None:
+        """Change the stage of a message by MESSAGE_TRANSITIONS. KeyError: no such transition."""
+        message.stage, effect = MESSAGE_TRANSITIONS[message.stage, event]
+        self.pending_count -= message.stage is MessageStage.FINISHED
+        if message.queued:
+            message.destination.queue_length, message.queued = message.destination.queue_length - 1, False
+            if not message.destination.queue_length:
+                del self.queued_destinations[message.destination]
         if effect:
-            getattr(self, effect)(now, case)
+            getattr(self, effect)(now, message)
 
-    def enqueue(self, now: float, case: MessageState) -> None:
-        if case.key_queue and not self.has_turn(now, case):
-            self.wake(now, case.key_queue)
+    def enqueue(self, now: float, message: MessageState) -> None:
+        """Put a message into a queue of its destination, or leave it to its key's queue for now."""
+        if message.key_queue and not self.has_turn(now, message):
+            self.start_next_of_key(now, message.key_queue)
             return
-        case.destination_state.queue_length, case.queued = case.destination_state.queue_length + 1, True
-        self.busy[case.destination_state] = None
-        due = case.may_have_run_at + case.message.queue_class.tag_memory_time - 0.02
-        if case.may_have_run_at and due < case.expires_at:  # nobody waits for what may not be sent again
-            heapq.heappush(self.ends, (due, next(self.serial), case))
-        self.waiters(case).append(case)
-
-    def answer(self, now: float, case: MessageState) -> None:
-        wait = (
-            max(0.0, min(case.terms.max_retry_after, case.expires_at - now))
+        message.destination.queue_length, message.queued = message.destination.queue_length + 1, True
+        self.queued_destinations[message.destination] = None
+        resend_until = message.may_have_run_at + message.submitted.queue_class.tag_memory_time - 0.02
+        if message.may_have_run_at and resend_until < message.expires_at:
+            # It is given up as soon as it may not be sent again (see `may_attempt`), not later.
+            heapq.heappush(self.expiries, (resend_until, next(self.sequence), message))
+        self.queue_of(message).append(message)
+
+    def end_undelivered(self, now: float, message: MessageState) -> None:
+        """Bounce a message that may have run and must not be repeated, defer any other one."""
+        retry_after = (
+            max(0.0, min(message.terms.max_retry_after, message.expires_at - now))
             if now < self.sends_end_at
             else 0.0
         )
-        final = case.may_have_run_at and (case.never_repeated or case.bound_zone is not None)
-        reason = UndeliveredReason.MAY_HAVE_RUN if final else case.reason or self.reason(now, case)
+        bounces = message.may_have_run_at and (message.stop_if_may_have_run or message.bound_zone is not None)
+        reason = (
+            UndeliveredReason.MAY_HAVE_RUN
+            if bounces
+            else message.reason or self.undelivered_reason(now, message)
+        )
         self.effects.append(
-            interface.Bounce(case.message, reason) if final else interface.Defer(case.message, reason, wait)
+            interface.Bounce(message.submitted, reason)
+            if bounces
+            else interface.Defer(message.submitted, reason, retry_after)
         )
-        case.outstanding += self.notices  # it is not over before its notice is
-        self.pass_turn(now, case)
+        message.outstanding += self.has_notices  # the next message of its key waits for its notice
+        self.leave_key_queue(now, message)
 
-    def reason(self, now: float, case: MessageState) -> UndeliveredReason:
-        """Why nothing more is sent for a mail."""
-        if case.expires_at <= now + self.tick:
+    def undelivered_reason(self, now: float, message: MessageState) -> UndeliveredReason:
+        """Why nothing more is sent for a message."""
+        if message.expires_at <= now + self.sweep_interval:
             return UndeliveredReason.LIFETIME_OVER
         if (
-            case.may_have_run_at
-            and now > case.may_have_run_at + case.message.queue_class.tag_memory_time - 0.02 - self.tick
+            message.may_have_run_at
+            and now
+            > message.may_have_run_at
+            + message.submitted.queue_class.tag_memory_time
+            - 0.02
+            - self.sweep_interval
         ):
             return UndeliveredReason.TAG_MAY_BE_FORGOTTEN
         return UndeliveredReason.STOPPING if now >= self.sends_end_at else UndeliveredReason.NO_ATTEMPT_LEFT
 
-    def pass_turn(self, now: float, case: MessageState) -> None:  # once it is over and has nothing out
-        if case.key_queue and not case.outstanding:
-            case.key_queue.messages.remove(case)
-            self.wake(now, case.key_queue)
-
-    def wake(self, now: float, turns: KeyQueue) -> None:
-        """Let the first message of a key go on, if it may; else it is looked at again when that changes."""
-        head = turns.messages[0] if turns.messages else None
-        if turns.cooldown_until > now and (head is None or head is not turns.cooldown_exempt):
-            heapq.heappush(self.resting, (turns.cooldown_until, next(self.serial), turns))
+    def leave_key_queue(self, now: float, message: MessageState) -> None:
+        """Let the next message of its key go, once this one is finished and has nothing outstanding."""
+        if message.key_queue and not message.outstanding:
+            message.key_queue.messages.remove(message)
+            self.start_next_of_key(now, message.key_queue)
+
+    def start_next_of_key(self, now: float, key_queue: KeyQueue) -> None:
+        """Queue the first message of a key if it may go; otherwise this is called again when that changes."""
+        head = key_queue.messages[0] if key_queue.messages else None
+        if key_queue.cooldown_until > now and (head is None or head is not key_queue.cooldown_exempt):
+            heapq.heappush(self.cooldowns, (key_queue.cooldown_until, next(self.sequence), key_queue))
         elif head is None:
-            if self.key_queues.get(turns.key) is turns:  # else others have come of that key since
-                del self.key_queues[turns.key]
+            # Unless other messages of the key have come since, which have a queue of their own.
+            if self.key_queues.get(key_queue.key) is key_queue:
+                del self.key_queues[key_queue.key]
         elif head.stage is MessageStage.WAITING and not head.queued and self.has_turn(now, head):
             self.enqueue(now, head)
 
-    def has_turn(self, now: float, case: MessageState) -> bool:
-        """Whether its key does not rest, and no message of it accepted before is owed, here or there."""
-        if (turns := case.key_queue) is None:
+    def has_turn(self, now: float, message: MessageState) -> bool:
+        """Whether its key is not cooling down, and has no earlier message pending in any process."""
+        if (key_queue := message.key_queue) is None:
             return True
-        first_there = self.others.first_accepted_at.get(turns.key, inf)
-        rests = turns.cooldown_until > now and turns.cooldown_exempt is not case
-        is_first = bool(turns.messages) and turns.messages[0] is case
-        return is_first and case.message.accepted_at <= first_there and not rests
+        first_at_peers = self.peer_load.first_accepted_at.get(key_queue.key, inf)
+        cooling_down = key_queue.cooldown_until > now and key_queue.cooldown_exempt is not message
+        is_first = bool(key_queue.messages) and key_queue.messages[0] is message
+        return is_first and message.submitted.accepted_at <= first_at_peers and not cooling_down
 
-    def may_go(self, now: float, case: MessageState) -> bool:
+    def may_attempt(self, now: float, message: MessageState) -> bool:
         """Whether a further attempt is allowed, and can still be of use."""
-        # Tagged mails, as long as they are remembered, less the rounding of clocks; once-only, never.
-        memory = -inf if case.never_repeated else case.message.queue_class.tag_memory_time - 0.02
-        outside = case.may_have_run_at and now > case.may_have_run_at + memory
-        most = min(self.most_attempts, case.terms.max_attempts)
-        spent = case.stage is MessageStage.FINISHED or case.attempts - case.outstanding >= most
-        return not outside and not spent and case.expires_at > now + self.tick
-
-    def send(self, now: float) -> None:
-        self.fresh.clear()
+        # A tagged message may be repeated as long as its tag is remembered, less 0.02 s for the rounding of
+        # clocks; a once-only message never.
+        memory_time = (
+            -inf if message.stop_if_may_have_run else message.submitted.queue_class.tag_memory_time - 0.02
+        )
+        no_repeat = message.may_have_run_at and now > message.may_have_run_at + memory_time
+        most = min(self.max_attempts, message.terms.max_attempts)
+        no_attempt_left = (
+            message.stage is MessageStage.FINISHED or message.attempts - message.outstanding >= most
+        )
+        return not no_repeat and not no_attempt_left and message.expires_at > now + self.sweep_interval
+
+    def send_queued(self, now: float) -> None:
+        """Send queued messages, the most urgent first, while limits leave room."""
+        self.calls_this_turn.clear()
         ready: list[tuple[float, int, DestinationState, MessageState]] = []
-        aside: list[MessageState] = []
-        may = not self.full and now < self.sends_end_at and not self.sends_held
-        misses = [0] * len(self.busy)
-        for place, line in enumerate(list(self.busy) if may else []):
-            if now >= line.wait_until:
-                for each in line.route_states.values():
-                    self.refill(now, each)
-                self.try_routes(now, line)
-                if line.calls_in_flight - line.overdue_calls < int(line.window) and (
-                    case := self.best(now, line)
+        put_back: list[MessageState] = []
+        may_send = not self.slots_full and now < self.sends_end_at and not self.sends_held
+        misses = [0] * len(self.queued_destinations)
+        for place, destination in enumerate(list(self.queued_destinations) if may_send else []):
+            if now >= destination.wait_until:
+                for each in destination.routes.values():
+                    self.refill_credit(now, each)
+                self.start_trials(now, destination)
+                if destination.calls_in_flight - destination.overdue_calls < int(destination.window) and (
+                    message := self.pop_best(now, destination)
                 ):
-                    heapq.heappush(ready, (-self.urgency(now, case), place, line, case))
+                    heapq.heappush(ready, (-self.urgency(now, message), place, destination, message))
         while ready:
-            _, place, line, case = heapq.heappop(ready)
-            lane = self.draw(now, case) if not self.full or line.batch_size > 1 else None
-            if lane and case.expires_at - now < lane.durations.most(0.0, 0.25):
-                case.reason = UndeliveredReason.NO_CALL_IN_TIME  # not one call in four would come in time
-                self.step(now, case, MessageEvent.GIVEN_UP)
-            elif not lane or not self.has_turn(now, case) or not self.dispatch(now, case, lane):
-                aside.append(case)
+            _, place, destination, message = heapq.heappop(ready)
+            route = (
+                self.choose_route(now, message) if not self.slots_full or destination.batch_size > 1 else None
+            )
+            if route and message.expires_at - now < route.durations.quantile(0.0, 0.25):
+                # Not one call in four would end in time.
+                message.reason = UndeliveredReason.NO_CALL_IN_TIME
+                self.apply_event(now, message, MessageEvent.GIVEN_UP)
+            elif not route or not self.has_turn(now, message) or not self.send_attempt(now, message, route):
+                put_back.append(message)
                 misses[place] += 1
-            # Enough tries for a line to fill the calls that it opened in this turn.
-            if misses[place] <= 2 + line.batch_size and (following := self.best(now, line)):
-                heapq.heappush(ready, (-self.urgency(now, following), place, line, following))
-        for case in reversed(aside):
-            self.waiters(case).appendleft(case)
-
-    def best(self, now: float, line: DestinationState) -> MessageState | None:
-        """Takes the next mail off a line: first attempts, then further ones, then what came too late."""
+            # Enough tries for a destination to fill the calls that were started for it in this turn.
+            if misses[place] <= 2 + destination.batch_size and (following := self.pop_best(now, destination)):
+                heapq.heappush(ready, (-self.urgency(now, following), place, destination, following))
+        for message in reversed(put_back):
+            self.queue_of(message).appendleft(message)
+
+    def pop_best(self, now: float, destination: DestinationState) -> MessageState | None:
+        """Take the next message off the queues: first attempts, then retries, then late messages."""
         best: deque[MessageState] | None = None
-        steady = any(lane.failure_rate <= 0.2 for lane in line.route_states.values())
-        for cases in line.first_attempts.values():
-            # Those whose importance fades fast now let the punctual go first.
-            while cases and (cases[0].stage is not MessageStage.WAITING or now > cases[0].fades_at):
-                line.late.append(cases.popleft())
-                while line.late and line.late[0].stage is not MessageStage.WAITING:
-                    line.late.popleft()
-            may = cases and (steady or not cases[0].once_only)
-            if may and (not best or self.urgency(now, cases[0]) > self.urgency(now, best[0])):
-                best = cases
+        steady = any(route.failure_rate <= 0.2 for route in destination.routes.values())
+        for queue in destination.first_attempts.values():
+            # Messages whose importance fades fast by now let the punctual ones go first.
+            while queue and (queue[0].stage is not MessageStage.WAITING or now > queue[0].fades_at):
+                destination.late.append(queue.popleft())
+                while destination.late and destination.late[0].stage is not MessageStage.WAITING:
+                    destination.late.popleft()
+            may_go = queue and (steady or not queue[0].once_only)
+            if may_go and (not best or self.urgency(now, queue[0]) > self.urgency(now, best[0])):
+                best = queue
         if best:
             return best.popleft()
-        for rest in (line.retries, line.late):
-            while rest:
-                case = rest.popleft() if rest is line.retries else rest.pop()
-                if self.may_go(now, case):
-                    return case
-                if case.stage is MessageStage.WAITING:
-                    self.step(now, case, MessageEvent.GIVEN_UP)
+        for other in (destination.retries, destination.late):
+            while other:
+                message = other.popleft() if other is destination.retries else other.pop()
+                if self.may_attempt(now, message):
+                    return message
+                if message.stage is MessageStage.WAITING:
+                    self.apply_event(now, message, MessageEvent.GIVEN_UP)
         return None
 
-    def waiters(self, case: MessageState) -> deque[MessageState]:
-        """Further attempts wait in a line of their own, first attempts in one for each sort of mail."""
-        sort = case.message.queue_class
+    def queue_of(self, message: MessageState) -> deque[MessageState]:
+        """Retries have one queue at a destination, first attempts one for each queue class."""
+        queue_class = message.submitted.queue_class
         return (
-            case.destination_state.retries
-            if case.attempts
-            else case.destination_state.first_attempts.setdefault(sort, deque())
-        )
-
-    def urgency(self, now: float, case: MessageState) -> float:
-        # Importance, growing with age so that no queue class starves; half at birth keeps classes apart. For
-        # each second of a slot, lest receivers that are slow to answer take the slots of those that are not.
-        age = max(0.0, now - case.handed_in_at) / case.message.queue_class.target_delay
-        return case.terms.importance * (0.5 + age) / (0.1 + case.destination_state.slot_time)
-
-    def draw(self, now: float, case: MessageState) -> RouteState | None:
-        """The ordinary path: a weighted random draw over the live routes."""
-        # Guards what cannot be tried anew: two served calls or five quiet seconds make a route steady.
-        fit = (lane for lane in case.destination_state.route_states.values() if self.fits(case, lane))
-        live = (lane for lane in fit if lane.circuit is CircuitState.CLOSED and lane.no_sends_until <= now)
-        free = (lane for lane in live if lane.credit >= 1 or lane in self.fresh)
-        lanes = [lane for lane in free if len(lane.calls) < lane.route.window or lane in self.fresh]
-        if len(lanes) > 1 and case.last_route_state in lanes:
-            lanes.remove(case.last_route_state)  # a further attempt goes elsewhere where it can
-        # Guards routes of which no rate is known against one that told its own: they start as its equals.
-        rates = [self.rate(lane) for lane in lanes]
-        known = [rate for rate in rates if rate]
-        equal = sum(known) / len(known) if known else 1.0
-        shares = (self.share(now, lane, rate or equal) for lane, rate in zip(lanes, rates, strict=True))
+            message.destination.retries
+            if message.attempts
+            else message.destination.first_attempts.setdefault(queue_class, deque())
+        )
+
+    def urgency(self, now: float, message: MessageState) -> float:
+        """By how much a message goes before others: importance by age, for each second of a slot."""
+        # Importance grows with age, so that no queue class starves; it starts at half, which keeps classes
+        # apart. Divided by the time of a slot, so that receivers that respond slowly do not take the slots
+        # of others.
+        age = max(0.0, now - message.handed_in_at) / message.submitted.queue_class.target_delay
+        return message.terms.importance * (0.5 + age) / (0.1 + message.destination.slot_time)
+
+    def choose_route(self, now: float, message: MessageState) -> RouteState | None:
+        """Draw one of the usable routes at random, weighted by their shares; None if there is none."""
+        eligible = (
+            route for route in message.destination.routes.values() if self.is_eligible(message, route)
+        )
+        closed = (
+            route
+            for route in eligible
+            if route.circuit is CircuitState.CLOSED and route.no_sends_until <= now
+        )
+        with_credit = (route for route in closed if route.credit >= 1 or route in self.calls_this_turn)
+        routes = [
+            route
+            for route in with_credit
+            if len(route.calls) < route.listed.window or route in self.calls_this_turn
+        ]
+        if len(routes) > 1 and message.last_route in routes:
+            routes.remove(message.last_route)  # a further attempt goes over another route if it can
+        # Routes whose rate is not known start as equals of those that advertised theirs.
+        rates = [self.route_rate(route) for route in routes]
+        known_rates = [rate for rate in rates if rate]
+        mean_rate = sum(known_rates) / len(known_rates) if known_rates else 1.0
+        shares = (
+            self.share(now, route, rate or mean_rate) for route, rate in zip(routes, rates, strict=True)
+        )
         sums = list(accumulate(shares))
-        return lanes[bisect_right(sums, self.chance() * sums[-1])] if lanes else None
+        return routes[bisect_right(sums, self.random_fraction() * sums[-1])] if routes else None
 
-    def fits(self, case: MessageState, lane: RouteState) -> bool:
-        return (lane.failure_rate <= 0.2 or not case.once_only) and case.bound_zone in (None, lane.route.zone)
+    def is_eligible(self, message: MessageState, route: RouteState) -> bool:
+        """Whether a route is steady enough for a message, and in a zone where the message may go.
 
-    def alone(self, case: MessageState, lane: RouteState) -> bool:
-        """Whether a mail that may have run there could go again over no other route."""
-        live = (
+        Once-only messages cannot be tried anew and go over steady routes alone: two served calls or five
+        quiet seconds make a route steady.
+        """
+        return (route.failure_rate <= 0.2 or not message.once_only) and message.bound_zone in (
+            None,
+            route.listed.zone,
+        )
+
+    def has_no_alternative(self, message: MessageState, route: RouteState) -> bool:
+        """Whether a message that may have run over this route could go again over no other one."""
+        others = (
             each
-            for each in case.destination_state.route_states.values()
-            if each.circuit is CircuitState.CLOSED and each is not lane
-        )
-        return case.message.queue_class.one_zone and all(each.route.zone != lane.route.zone for each in live)
-
-    def dispatch(self, now: float, case: MessageState, lane: RouteState, trial: bool = False) -> bool:
-        """Send a mail over a route, in a call of this turn or a new one, if limits leave room."""
-        call, line = self.fresh.get(lane), case.destination_state
-        # What operators set stands instead of what was learned; it is held against the rules at load.
-        told = lane.route.timeouts.get(case.message.queue_class, 0.0)
-        if call is None or call.attempts_in_flight >= lane.route.kind.batch_size:
-            sick = any(
+            for each in message.destination.routes.values()
+            if each.circuit is CircuitState.CLOSED and each is not route
+        )
+        return message.submitted.queue_class.one_zone and all(
+            each.listed.zone != route.listed.zone for each in others
+        )
+
+    def send_attempt(self, now: float, message: MessageState, route: RouteState, trial: bool = False) -> bool:
+        """Send a message over a route, in a call of this turn or a new one; False if limits leave no room."""
+        call, destination = self.calls_this_turn.get(route), message.destination
+        # A timeout that operators set replaces what was learned; it was checked when the settings were read.
+        set_timeout = route.listed.timeouts.get(message.submitted.queue_class, 0.0)
+        if call is None or call.attempts_in_flight >= route.listed.kind.batch_size:
+            failing = any(
                 other.failure_rate > 0.3 or other.circuit is not CircuitState.CLOSED
-                for other in line.route_states.values()
+                for other in destination.routes.values()
+            )
+            most = max(
+                1,
+                (self.max_failing_destination_calls if failing else self.max_destination_calls)
+                // (1 + self.peer_load.processes),
             )
-            most = max(1, (self.sick_cap if sick else self.cap) // (1 + self.others.processes))
-            crowded = self.full or line.calls_in_flight >= most or not self.shared_windows_hold(lane, 1)
-            # Overdue calls leave the window, lest a few silent ones shut a destination for a queue lifetime.
+            crowded = (
+                self.slots_full
+                or destination.calls_in_flight >= most
+                or not self.fits_shared_windows(route, 1)
+            )
+            # Overdue calls do not count in the window: a few silent ones would close a destination for the
+            # lifetime of their messages.
             if crowded or (
                 not trial
-                and (line.calls_in_flight - line.overdue_calls >= int(line.window) or lane.credit < 1)
+                and (
+                    destination.calls_in_flight - destination.overdue_calls >= int(destination.window)
+                    or route.credit < 1
+                )
             ):
                 return False
-            # Late for all but the odd heavy mail: thrice what nine in ten take, or twice the target delay.
-            target = case.message.queue_class.target_delay
-            usual = lane.durations.most(self.tally.most(target / 2, 0.95) if self.seldom else target / 2)
-            limit = told or min(2 * target, max(0.4, 3 * usual))
-            call = self.fresh[lane] = Call(lane, now, limit, trial, case.once_only or self.alone(case, lane))
-            self.calls[call] = lane.calls[call] = None
-            line.calls_in_flight += 1
-            lane.credit -= 1
+            # Overdue for all but the odd heavy message: after three times what nine in ten calls stay under,
+            # or twice the target delay.
+            target_delay = message.submitted.queue_class.target_delay
+            usual = route.durations.quantile(
+                self.durations.quantile(target_delay / 2, 0.95) if self.sparse_traffic else target_delay / 2
+            )
+            overdue_after = set_timeout or min(2 * target_delay, max(0.4, 3 * usual))
+            call = self.calls_this_turn[route] = Call(
+                route, now, overdue_after, trial, message.once_only or self.has_no_alternative(message, route)
+            )
+            self.calls[call] = route.calls[call] = None
+            destination.calls_in_flight += 1
+            route.credit -= 1
         else:
-            # A further mail is more work, though no further call. Weighed a little, and fully when cold.
-            lane.credit -= 0.08 if self.slow_start(now, lane) == 1 else 0.25
-        patience = told or min(
-            case.message.queue_class.tag_memory_time / 2, call.overdue_after * 2 ** (1 + case.attempts)
+            # A further message in a call is more work for the receiver, though no further call. It counts a
+            # little, and fully while the route is cold.
+            route.credit -= 0.08 if self.slow_start(now, route) == 1 else 0.25
+        patience = set_timeout or min(
+            message.submitted.queue_class.tag_memory_time / 2,
+            call.overdue_after * 2 ** (1 + message.attempts),
         )
         patience = (
-            inf if call.once_only and not told else call.overdue_after if trial and not told else patience
+            inf
+            if call.once_only and not set_timeout
+            else call.overdue_after
+            if trial and not set_timeout
+            else patience
+        )
+        timeout = min(message.expires_at - now, patience)
+        message.attempts, message.outstanding, message.last_route = (
+            message.attempts + 1,
+            message.outstanding + 1,
+            route,
         )
-        time_out = min(case.expires_at - now, patience)
-        case.attempts, case.outstanding, case.last_route_state = case.attempts + 1, case.outstanding + 1, lane
-        case.bound_zone = lane.route.zone if case.message.queue_class.one_zone else None
+        message.bound_zone = route.listed.zone if message.submitted.queue_class.one_zone else None
         call.attempts_in_flight += 1
-        self.step(now, case, MessageEvent.SENT)
+        self.apply_event(now, message, MessageEvent.SENT)
         hedged = (
-            self.may_copy
-            and case.terms.max_copies > case.outstanding
-            and not case.never_repeated
-            and not case.key_queue
-        )
-        if hedged and case.terms.copy_after < case.message.queue_class.tag_memory_time:
-            heapq.heappush(self.copies, (now + case.terms.copy_after, next(self.serial), case))
-        rest = (
-            self.rest + (now - self.broke) / 20 if case.never_repeated else inf
-        )  # others are soon tried anew
-        call.attempts.append(Attempt(case.message, lane.route, time_out, call, rest))
+            self.may_hedge
+            and message.terms.max_copies > message.outstanding
+            and not message.stop_if_may_have_run
+            and not message.key_queue
+        )
+        if hedged and message.terms.copy_after < message.submitted.queue_class.tag_memory_time:
+            heapq.heappush(self.hedges_due, (now + message.terms.copy_after, next(self.sequence), message))
+        # Only a message that cannot be repeated needs a connection that is surely open; others are soon
+        # retried. The time that is safe grows by a second in twenty.
+        max_connection_idle_time = (
+            self.safe_idle_time + (now - self.idle_reset_at) / 20 if message.stop_if_may_have_run else inf
+        )
+        call.attempts.append(
+            Attempt(message.submitted, route.listed, timeout, call, max_connection_idle_time)
+        )
         self.effects.append(call.attempts[-1])
         return True
 
-    def copy(self, now: float, case: MessageState) -> None:
-        """A second copy, where the first is slow: over another route, while slots are not short."""
-        most = min(self.most_attempts, case.terms.max_attempts)  # those that are out count too
-        spare = (
-            2 * (len(self.calls) + self.others.calls_in_flight) < self.slots
-            and case.outstanding < case.terms.max_copies
+    def send_hedge(self, now: float, message: MessageState) -> None:
+        """Send a hedged attempt over another route, where the first is slow and slots are not short."""
+        most = min(self.max_attempts, message.terms.max_attempts)  # attempts in flight count, too
+        has_room = (
+            2 * (len(self.calls) + self.peer_load.calls_in_flight) < self.slots
+            and message.outstanding < message.terms.max_copies
             and now < self.sends_end_at
         )
-        may = case.attempts < most and now >= case.destination_state.wait_until and self.may_go(now, case)
-        may = may and not self.sends_held
-        if case.stage is MessageStage.IN_FLIGHT and spare and may:
-            lane = self.draw(now, case)
-            if lane and lane is not case.last_route_state:
-                self.dispatch(now, case, lane)
-
-    def call_off(self, case: MessageState) -> None:
-        """Copies of a mail that is over."""
-        for call in self.calls if case.outstanding and self.may_cancel else ():
+        may_send = (
+            message.attempts < most
+            and now >= message.destination.wait_until
+            and self.may_attempt(now, message)
+        )
+        may_send = may_send and not self.sends_held
+        if message.stage is MessageStage.IN_FLIGHT and has_room and may_send:
+            route = self.choose_route(now, message)
+            if route and route is not message.last_route:
+                self.send_attempt(now, message, route)
+
+    def cancel_attempts(self, message: MessageState) -> None:
+        """Cancel the hedged attempts of a message that needs them no more."""
+        for call in self.calls if message.outstanding and self.may_cancel else ():
             self.effects += [
-                interface.Cancel(attempt) for attempt in call.attempts if attempt.message is case.message
+                interface.Cancel(attempt) for attempt in call.attempts if attempt.message is message.submitted
             ]
 
-    def try_routes(self, now: float, line: DestinationState) -> None:
-        """One trial for each route at nought, of a mail that can bear failing where there is one."""
-        for lane in line.route_states.values():
-            rests = now < lane.no_sends_until or (lane.credit < 1 and not self.failing(lane))
-            if lane.circuit is not CircuitState.OPEN or rests:
+    def start_trials(self, now: float, destination: DestinationState) -> None:
+        """Start one trial for each route whose circuit is open and whose backoff is over.
+
+        It is made with a message that can bear failing; a probe goes where there is none.
+        """
+        for route in destination.routes.values():
+            not_due = now < route.no_sends_until or (route.credit < 1 and not self.is_failing(route))
+            if route.circuit is not CircuitState.OPEN or not_due:
                 continue
             if sum(call.trial for call in self.calls) >= max(
-                1, self.slots // 4 // (1 + self.others.processes)
+                1, self.slots // 4 // (1 + self.peer_load.processes)
             ):
-                return  # many silent routes would take all slots for trials
-            case = self.bearer(now, line, lane)
-            if case and not self.dispatch(now, case, lane, trial=True):
-                self.waiters(case).appendleft(case)
-            elif case or self.may_probe:
-                if case is None:
-                    self.effects.append(interface.Probe(lane.route, 2.0))  # as long as the longest pause
-                self.sign(now, lane, RouteSignal.TRIAL_STARTED)
-
-    def bearer(self, now: float, line: DestinationState, lane: RouteState) -> MessageState | None:
-        """A mail that can bear failing; a once-only one where there is neither a better one nor a probe."""
-        lists = (line.retries, *line.first_attempts.values())
-        heads = [cases for cases in lists if cases and self.may_go(now, cases[0])]
-        heads = [cases for cases in heads if cases[0].bound_zone in (None, lane.route.zone)]
-        heads = [cases for cases in heads if self.has_turn(now, cases[0])]
-        heads.sort(key=lambda cases: list(RepeatSafety).index(cases[0].message.queue_class.repeat_safety))
-        return heads[0].popleft() if heads and not (self.may_probe and heads[0][0].once_only) else None
+                return  # trials of many silent routes would take all slots
+            message = self.pop_trial_message(now, destination, route)
+            if message and not self.send_attempt(now, message, route, trial=True):
+                self.queue_of(message).appendleft(message)
+            elif message or self.may_probe:
+                if message is None:
+                    # Seconds: as long as the longest backoff.
+                    self.effects.append(interface.Probe(route.listed, 2.0))
+                self.apply_signal(now, route, RouteSignal.TRIAL_STARTED)
+
+    def pop_trial_message(
+        self, now: float, destination: DestinationState, route: RouteState
+    ) -> MessageState | None:
+        """Take a message that can bear failing; a once-only one if there is no other and no probe either."""
+        queues = (destination.retries, *destination.first_attempts.values())
+        candidates = [queue for queue in queues if queue and self.may_attempt(now, queue[0])]
+        candidates = [queue for queue in candidates if queue[0].bound_zone in (None, route.listed.zone)]
+        candidates = [queue for queue in candidates if self.has_turn(now, queue[0])]
+        candidates.sort(
+            key=lambda queue: list(RepeatSafety).index(queue[0].submitted.queue_class.repeat_safety)
+        )
+        return (
+            candidates[0].popleft()
+            if candidates and not (self.may_probe and candidates[0][0].once_only)
+            else None
+        )
 
     def make_room(self, now: float) -> None:
-        """Defer the least valuable before new mails are turned away at the door."""
-        while (
-            self.pending_count + self.others.pending > self.room - 2
-        ):  # two more may come before the next turn
-            line = max(self.busy, key=lambda other: other.queue_length, default=None)
-            sorts = [cases for cases in line.first_attempts.values() if cases] if line else []
-            if not sorts:
+        """Defer the messages of least importance before new ones would have to be refused."""
+        # Two more messages may come before the next turn.
+        while self.pending_count + self.peer_load.pending > self.room - 2:
+            destination = max(self.queued_destinations, key=lambda other: other.queue_length, default=None)
+            queues = [queue for queue in destination.first_attempts.values() if queue] if destination else []
+            if not queues:
                 return
-            case = min(sorts, key=lambda cases: cases[-1].terms.importance).pop()
-            if case.stage is MessageStage.WAITING:
-                case.reason = UndeliveredReason.NO_ROOM
-                self.step(now, case, MessageEvent.GIVEN_UP)
-
-    def line(self, destination: interface.Destination) -> DestinationState:
-        return self.destination_states.setdefault(destination, DestinationState(destination, window=1.0))
-
-    def plain(self, kind: interface.QueueClass) -> interface.Terms:
-        """What holds for mails of a class where operators set nothing."""
-        if kind not in self.terms:
-            self.terms[kind] = interface.Terms(
-                kind.importance, self.most_attempts, self.most_retry_after, 1, inf
+            message = min(queues, key=lambda queue: queue[-1].terms.importance).pop()
+            if message.stage is MessageStage.WAITING:
+                message.reason = UndeliveredReason.NO_ROOM
+                self.apply_event(now, message, MessageEvent.GIVEN_UP)
+
+    def destination_state_of(self, listed: interface.Destination) -> DestinationState:
+        """The state of a destination, created with a window of one call where there is none yet."""
+        return self.destination_states.setdefault(listed, DestinationState(listed, window=1.0))
+
+    def default_terms_of(self, queue_class: interface.QueueClass) -> interface.Terms:
+        """The terms of messages of a queue class for which operators set none at their destination."""
+        if queue_class not in self.default_terms:
+            self.default_terms[queue_class] = interface.Terms(
+                queue_class.importance, self.max_attempts, self.max_retry_after, 1, inf
             )
-        return self.terms[kind]
+        return self.default_terms[queue_class]
 
-    def chance(self) -> float:
-        return zlib.crc32(f"{self.seed}:{next(self.serial)}".encode()) / 2**32
+    def random_fraction(self) -> float:
+        """A pseudo-random number from 0 up to 1, reproducible by the seed."""
+        return zlib.crc32(f"{self.seed}:{next(self.sequence)}".encode()) / 2**32
--- a/laureldock/delivery_settings.py
+++ b/laureldock/delivery_settings.py
@@ -1,6 +1,6 @@
-"""What is read at start: a plan, turned into the `Tariff`, the sorts of mail and the terms of each.
+"""What is read from the configuration: a plan, turned into settings, queue classes and terms of messages.
 
-Both doors come here: the bench's adapter and the dispatcher on sockets. Nothing here decides.
+Both the simulator's adapter and the dispatcher on sockets use it. Nothing here decides.
 """
 
 from __future__ import annotations
@@ -13,32 +13,34 @@
 from laureldock import interface
 from laureldock.setup.entries import kind_of, number_of, spots, term_book
 from laureldock.setup.plan import Plan
-from laureldock.setup.plan import QueueClass as Sort
+from laureldock.setup.plan import QueueClass as ClassSettings
 from laureldock.setup.terms import Level, TermBook
 
-if TYPE_CHECKING:  # of a source of kind "controller" alone
+if TYPE_CHECKING:  # only needed with a source of kind "controller"
     from laureldock.setup.catalog import AppliedChange, Catalog, Selection
 
-# Settings that destinations and routes are told; the others are looked up for each mail.
+# Settings that destinations and routes hold in fields of their own. Others are looked up for each message.
 SETTINGS_KEPT_ON_ROUTES = {"window", "time_out"}
 
 
-def queue_class(sort: Sort, halving: bool) -> interface.QueueClass:
+def queue_class(settings: ClassSettings, halves_importance_when_late: bool) -> interface.QueueClass:
+    """What the decisions know of a queue class."""
     return interface.QueueClass(
-        repeat_safety=interface.RepeatSafety(sort.effect),
-        importance=1.0 if sort.importance is None else sort.importance,
-        target_delay=float(sort.target_delay),
-        lifetime=float(sort.lifetime),
-        late_share=sort.late_share,
-        halves_importance_when_late=halving,
-        in_order=sort.in_order,
-        tag_memory_time=inf if sort.memory is None else float(sort.memory),
-        one_zone=sort.one_zone,
-        never_if_may_have_run=sort.resend in ("proven", "never"),
+        repeat_safety=interface.RepeatSafety(settings.effect),
+        importance=1.0 if settings.importance is None else settings.importance,
+        target_delay=float(settings.target_delay),
+        lifetime=float(settings.lifetime),
+        late_share=settings.late_share,
+        halves_importance_when_late=halves_importance_when_late,
+        in_order=settings.in_order,
+        tag_memory_time=inf if settings.memory is None else float(settings.memory),
+        one_zone=settings.one_zone,
+        stop_if_may_have_run=settings.resend in ("proven", "never"),
     )
 
 
 def delivery_settings(plan: Plan, sockets: bool) -> interface.DeliverySettings:
+    """What an instance is given at its start; `sockets`: on sockets, rather than in the simulator."""
     limits, returning = plan.limits, plan.returning
     return interface.DeliverySettings(
         seed=plan.seed,
@@ -70,38 +72,37 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """An endpoint as the list names it."""
+    """An endpoint, in the names of the list."""
 
     name: str
-    destination: Any
+    destination: Any  # its number or name
     zone: str
-    kind: str
-    listed_rate: float
+    kind: str  # name of its destination's kind; empty if the list names none
+    listed_rate: float  # calls a second that it takes; 0 if not known
     listed_state: interface.ListedState
 
 
 class DeliveryRegistry:
-    """The names at the door: queue classes, customers, destinations, the routes listed, and their terms."""
+    """Queue classes, customers, destinations and listed routes by their names, with their terms."""
 
     def __init__(self, plan: Plan, sockets: bool = False, terms: TermBook | None = None) -> None:
         self.plan = plan
         self.settings = delivery_settings(plan, sockets)
-        self.class_names: dict[interface.QueueClass, str] = {}  # of earlier settings too
+        self.class_names: dict[interface.QueueClass, str] = {}  # of earlier settings, too
         self.set_classes(plan)
         self.kinds = {
             name: interface.DestinationKind(each.batch, each.apart) for name, each in plan.kinds.items()
         }
         self.report_fields: list[str] = plan.reports
-        self.destinations: dict[Any, interface.Destination] = {}
+        self.destinations: dict[Any, interface.Destination] = {}  # by number or name
         self.kind_names: dict[Any, str] = {}  # of destinations, as listed or as the plan has them
         self.routes: dict[str, interface.Route] = {}
         self.term_book = terms or term_book(plan)[0]
-        self.terms: dict[
-            Any, dict[interface.QueueClass, interface.Terms | None]
-        ] = {}  # by destination, as looked up
+        # By destination: the terms of its messages as far as they have been looked up.
+        self.terms: dict[Any, dict[interface.QueueClass, interface.Terms | None]] = {}
 
     def update_terms(self, plan: Plan, terms: TermBook) -> None:
-        """Other terms from now on; what is out and what waits keeps its own."""
+        """Apply other terms from now on; messages in flight and in queues keep theirs."""
         same = terms.entries == self.term_book.entries and plan.destinations == self.plan.destinations
         self.plan, self.term_book = plan, terms
         self.customers = {name: self.customer_of(name) for name in plan.customers}
@@ -111,12 +112,12 @@
         self.kind_names.clear()  # the plan has them
         for number, destination in self.destinations.items():
             self.set_destination_window(number, destination)
-        numbers = {owner: number for number, owner in self.destinations.items()}
+        numbers = {destination: number for number, destination in self.destinations.items()}
         for name, route in self.routes.items():
             self.set_route_terms(name, numbers[route.destination], route)
 
     def apply_change(self, applied: AppliedChange, catalog: Catalog) -> None:
-        """Likewise, where the plan and the terms held here are a catalog's, changed in place."""
+        """Apply a change of a catalog that was changed in place, and to which plan and terms here belong."""
         for name in applied.customers:
             if name in self.plan.customers:
                 self.customers[name] = self.customer_of(name)
@@ -135,29 +136,33 @@
             self.apply_selection(selection, catalog)
 
     def forget_if_unlisted(self, destination: str, catalog: Catalog) -> None:
-        """By an endpoint: nothing is kept that can be worked out again where there is none any more."""
+        """Drop what can be looked up again of a destination that has no endpoint any more."""
         if destination not in catalog.endpoint_names:
             self.terms.pop(number_of(destination), None)
             self.kind_names.pop(number_of(destination), None)
 
-    def refresh_destination(self, destination: str, catalog: Catalog) -> None:
-        number = number_of(destination)
+    def refresh_destination(self, name: str, catalog: Catalog) -> None:
+        """Look up the terms of a destination and of its routes again."""
+        number = number_of(name)
         self.terms.pop(number, None)
-        if (owner := self.destinations.get(number)) is not None:
-            self.set_destination_window(number, owner)
-            self.refresh_routes(destination, catalog.endpoint_names.get(destination, ()))
-
-    def refresh_routes(self, destination: str, names: Iterable[str]) -> None:
-        """Those of them that are its routes by now; the others are told once they are."""
-        number = number_of(destination)
-        owner = self.destinations.get(number)
+        if (destination := self.destinations.get(number)) is not None:
+            self.set_destination_window(number, destination)
+            self.refresh_routes(name, catalog.endpoint_names.get(name, ()))
+
+    def refresh_routes(self, destination_name: str, names: Iterable[str]) -> None:
+        """Look up the terms of those of the routes that belong to the destination by now.
+
+        The others get theirs once they belong to it.
+        """
+        number = number_of(destination_name)
+        destination = self.destinations.get(number)
         for name in names:
             route = self.routes.get(name)
-            if route is not None and route.destination is owner:
+            if route is not None and route.destination is destination:
                 self.set_route_terms(name, number, route)
 
     def apply_selection(self, selection: Selection, catalog: Catalog) -> None:
-        """Settings of [[terms]] or of a queue class that hold anew, or no more, where they select."""
+        """Look up again what settings of [[terms]] or of a queue class select, as they came or went."""
         level, name = selection.spot
         if level is Level.ROUTE:
             if (endpoint := catalog.endpoints.get(name)) is not None:
@@ -165,7 +170,7 @@
         elif level is Level.DESTINATION:
             self.refresh_destination(name, catalog)
         elif not selection.settings & SETTINGS_KEPT_ON_ROUTES:
-            self.terms.clear()  # worked out again as mails come
+            self.terms.clear()  # looked up again as messages come
         else:
             self.terms.clear()
             kind = name if level is Level.KIND else None
@@ -173,53 +178,55 @@
                 (each for each in catalog.endpoint_names if kind in (None, kind_of(self.plan, each))), catalog
             )
 
-    def refresh_alike(self, destinations: Iterable[str], catalog: Catalog) -> None:
-        """Of destinations, and of routes, that are alike one is worked out; the others get the same."""
+    def refresh_alike(self, names: Iterable[str], catalog: Catalog) -> None:
+        """Look up the terms of many destinations and their routes, once for all that are alike."""
         windows: dict[object, float] = {}
-        known: dict[object, interface.Route] = {}
-        for destination in destinations:
-            number = number_of(destination)
-            owner, state = self.destinations.get(number), catalog.destination_state(destination)
-            if owner is None or state is None:
+        looked_up: dict[object, interface.Route] = {}
+        for name in names:
+            number = number_of(name)
+            destination, state = self.destinations.get(number), catalog.destination_state(name)
+            if destination is None or state is None:
                 continue
             if state.alike not in windows:
-                self.set_destination_window(number, owner)
-                windows[state.alike] = owner.window
-            owner.window = windows[state.alike]
-            for name in catalog.endpoint_names[destination]:
-                route = self.routes.get(name)
-                if route is None or route.destination is not owner:
+                self.set_destination_window(number, destination)
+                windows[state.alike] = destination.window
+            destination.window = windows[state.alike]
+            for route_name in catalog.endpoint_names[name]:
+                route = self.routes.get(route_name)
+                if route is None or route.destination is not destination:
                     continue
-                alike = *state.alike, catalog.term_book.set_at((Level.ROUTE, name))
-                if (other := known.get(alike)) is None:
-                    self.set_route_terms(name, number, route)
-                    known[alike] = route
+                alike = *state.alike, catalog.term_book.set_at((Level.ROUTE, route_name))
+                if (other := looked_up.get(alike)) is None:
+                    self.set_route_terms(route_name, number, route)
+                    looked_up[alike] = route
                 else:
                     route.window, route.timeouts = other.window, other.timeouts
 
     def update_classes(self, plan: Plan) -> None:
-        """Other queue classes and limits from now on; mails taken on keep the class that they had."""
+        """Apply other queue classes and limits from now on; accepted messages keep their class."""
         self.plan, self.settings = plan, delivery_settings(plan, self.settings.has_notices)
         self.set_classes(plan)
         self.terms.clear()
 
     def set_classes(self, plan: Plan) -> None:
-        """Queue classes and customers by the plan; the names of classes before stay known."""
+        """Take queue classes and customers from the plan; the names of earlier classes stay known."""
         halving = plan.limits.fades == "halving"
-        self.classes = {name: queue_class(sort, halving) for name, sort in plan.classes.items()}
-        self.class_names.update({kind: name for name, kind in self.classes.items()})
+        self.classes = {name: queue_class(settings, halving) for name, settings in plan.classes.items()}
+        self.class_names.update({known: name for name, known in self.classes.items()})
         self.customers = {name: interface.Customer(each.quota) for name, each in plan.customers.items()}
 
     def customer_of(self, name: str) -> interface.Customer:
-        """By the plan; the same as before if it has the same quota."""
+        """The customer by the plan: the same object as before if its quota is the same."""
         quota = self.plan.customers[name].quota
         known = self.customers.get(name)
         return known if known is not None and known.quota == quota else interface.Customer(quota)
 
-    def class_name(self, kind: interface.QueueClass) -> str:
-        return self.class_names.get(kind, "")
+    def class_name(self, queue_class: interface.QueueClass) -> str:
+        """The name of a queue class, also of earlier settings; empty if there never was one."""
+        return self.class_names.get(queue_class, "")
 
     def destination(self, number: Any) -> interface.Destination:
+        """The destination of a number or name, created if it is new."""
         found = self.destinations.get(number)
         if found is None:
             found = self.destinations[number] = interface.Destination()
@@ -227,70 +234,92 @@
         return found
 
     def term_scopes(self, number: Any, route: str = "") -> list[Any]:
+        """All places where terms for a destination, or for a route of it, may be set."""
         kind = self.kind_names.get(number) or kind_of(self.plan, str(number))
         return spots(kind, str(number), route)
 
     def set_destination_window(self, number: Any, destination: interface.Destination) -> None:
+        """Look up the window of a destination; infinite where none is set."""
         destination.window = self.term_book.value("window", "", self.term_scopes(number), inf)
 
     def set_route_terms(self, name: str, number: Any, route: interface.Route) -> None:
-        book, where = self.term_book, self.term_scopes(number, name)
-        route.window = book.value("window", "", where, inf)
+        """Look up the window of a route, and its timeouts by queue class where some are set."""
+        book, scopes = self.term_book, self.term_scopes(number, name)
+        route.window = book.value("window", "", scopes, inf)
         if "time_out" in book.settings:
-            found = ((kind, book.value("time_out", each, where)) for each, kind in self.classes.items())
-            route.timeouts = {kind: float(value) for kind, value in found if value is not None}
+            found = (
+                (queue_class, book.value("time_out", each, scopes))
+                for each, queue_class in self.classes.items()
+            )
+            route.timeouts = {queue_class: float(value) for queue_class, value in found if value is not None}
         else:
             route.timeouts = {}
 
     def new_message(
-        self, kind: interface.QueueClass, number: Any, left: float, customer: str = "", key: str | None = None
+        self,
+        queue_class: interface.QueueClass,
+        number: Any,
+        time_left: float,
+        customer: str = "",
+        key: str | None = None,
     ) -> interface.Message:
+        """A message for a destination, with the terms that hold now; `time_left`: seconds of its lifetime."""
         known = self.terms.setdefault(number, {})
-        if kind not in known:
-            known[kind] = self.terms_for(kind, number)
-        owner = self.destination(number)
-        return interface.Message(kind, owner, left, self.customers.get(customer), key, terms=known[kind])
-
-    def terms_for(self, kind: interface.QueueClass, number: Any) -> interface.Terms | None:
-        """What was set for a queue class at a destination beyond its own importance."""
-        book, where = self.term_book, self.term_scopes(number)
-        name = next(each for each, other in self.classes.items() if other is kind)
-        never = self.plan.classes[name].resend == "never"
-        most = self.settings
+        if queue_class not in known:
+            known[queue_class] = self.terms_for(queue_class, number)
+        destination = self.destination(number)
+        return interface.Message(
+            queue_class,
+            destination,
+            time_left,
+            self.customers.get(customer),
+            key,
+            terms=known[queue_class],
+        )
+
+    def terms_for(self, queue_class: interface.QueueClass, number: Any) -> interface.Terms | None:
+        """What operators set for a queue class at a destination; None if that is just what holds anyway."""
+        book, scopes = self.term_book, self.term_scopes(number)
+        name = next(each for each, other in self.classes.items() if other is queue_class)
+        never_resent = self.plan.classes[name].resend == "never"
+        limits = self.settings
         terms = interface.Terms(
-            float(book.value("importance", name, where, kind.importance)),
-            1 if never else book.value("connects", name, where, most.max_attempts),
-            float(book.value("retry_after", name, where, most.max_retry_after)),
-            book.value("copies", name, where, 1),
-            float(book.value("copy_after", name, where, kind.target_delay / 2)),
+            float(book.value("importance", name, scopes, queue_class.importance)),
+            1 if never_resent else book.value("connects", name, scopes, limits.max_attempts),
+            float(book.value("retry_after", name, scopes, limits.max_retry_after)),
+            book.value("copies", name, scopes, 1),
+            float(book.value("copy_after", name, scopes, queue_class.target_delay / 2)),
+        )
+        defaults = interface.Terms(
+            queue_class.importance, limits.max_attempts, limits.max_retry_after, 1, terms.copy_after
         )
-        plain = interface.Terms(kind.importance, most.max_attempts, most.max_retry_after, 1, terms.copy_after)
-        return None if terms == plain else terms
+        return None if terms == defaults else terms
 
-    def update_list(self, entries: list[ListedEndpoint], whole: bool) -> list[interface.Route]:
-        """The routes named, brought up to date; what is gone is forgotten."""
+    def update_list(self, entries: list[ListedEndpoint], full: bool) -> list[interface.Route]:
+        """Bring routes up to date by the list; a full one removes all others. Those that it names."""
         named = [self.update_route(entry) for entry in entries]
-        if whole:
+        if full:
             known = set(named)
             for route in self.routes.values():
                 if route not in known:
                     route.listed_state = interface.ListedState.REMOVED
-        for route in list(self.routes.values()) if whole else named:
+        for route in list(self.routes.values()) if full else named:
             if route.listed_state is interface.ListedState.REMOVED:
                 self.routes.pop(route.name, None)
         return named
 
     def update_route(self, entry: ListedEndpoint) -> interface.Route:
+        """The route of a listed endpoint, created if it is new, with the state and rate that the list has."""
         route = self.routes.get(entry.name)
         if route is None:
             if entry.kind:
                 self.kind_names.setdefault(entry.destination, entry.kind)
-            kind, owner = (
+            kind, destination = (
                 self.kinds.get(entry.kind) or interface.DestinationKind(),
                 self.destination(entry.destination),
             )
             route = interface.Route(
-                owner, entry.zone, kind, entry.listed_rate, entry.listed_state, entry.name
+                destination, entry.zone, kind, entry.listed_rate, entry.listed_state, entry.name
             )
             self.routes[entry.name] = route
             self.set_route_terms(entry.name, entry.destination, route)
--- a/laureldock/interface.py
+++ b/laureldock/interface.py
@@ -40,31 +40,33 @@
 
 
 class RepeatSafety(Enum):
-    """What a second run of a mail does."""
+    """What a second run of a message does at its receiver."""
 
-    REDELIVERABLE = "redeliverable"
-    TAGGED = "tagged"
-    ONCE_ONLY = "once-only"
+    REDELIVERABLE = "redeliverable"  # nothing worse: it may be sent as often as needed
+    TAGGED = "tagged"  # nothing, as long as the receiver remembers its tag
+    ONCE_ONLY = "once-only"  # harm: once it may have run it must not be sent again
 
 
 class AttemptResult(Enum):
-    """How an attempt or a probe ended. The door maps its own protocol's endings onto these."""
+    """How an attempt or a probe ended. Adapters map the results of their protocol onto these."""
 
     SERVED = "served"
-    ERROR = "error"
-    REFUSED = "full"
+    ERROR = "error"  # the receiver responded with a failure
+    REFUSED = "full"  # the receiver turned it away unprocessed
     TIMEOUT = "time-out"
-    NO_CONNECTION = "no connection"
-    RESET = "reset"
+    NO_CONNECTION = "no connection"  # no connection came up, or it broke before the request was sent
+    RESET = "reset"  # the connection broke after the request was sent
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "moot"  # it was not carried out, for reasons that say nothing of its route
 
 
-# After these a call may run on: its key rests.
+# After these a call may still run at its receiver: the ordering key of its message cools down.
 RESULTS_THAT_MAY_STILL_RUN = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED})
 
 
 class ListedState(Enum):
+    """The state of an endpoint in the list. Only one that is up gets anything new."""
+
     UP = "up"
     DRAINING = "draining"
     REMOVED = "removed"
@@ -72,77 +74,83 @@
 
 @dataclass(eq=False, slots=True)
 class QueueClass:
+    """What holds for all messages of a queue class. Durations are seconds."""
+
     repeat_safety: RepeatSafety
     importance: float
     target_delay: float
     lifetime: float
-    late_share: float
-    halves_importance_when_late: bool
-    in_order: bool = False
-    tag_memory_time: float = inf  # for tagged mails: how long a repeat is known
-    one_zone: bool = False  # for tagged mails: a repeat is known only in the zone of its first attempt
-    never_if_may_have_run: bool = False  # nothing more is sent once it may have run
+    late_share: float  # the fraction of its importance that a message has left at the end of its lifetime
+    halves_importance_when_late: bool  # it fades by halving past the target delay; otherwise linearly
+    in_order: bool = False  # messages of one key are sent one after the other, in the order of acceptance
+    tag_memory_time: float = inf  # of tagged messages: for how long a receiver recognizes a repeat
+    one_zone: bool = False  # of tagged messages: a repeat is recognized only in the zone of the first attempt
+    stop_if_may_have_run: bool = False  # nothing more is sent once a message may have run
 
 
 @dataclass(eq=False, slots=True)
 class Customer:
-    quota: float
+    """A customer, as operators set it."""
+
+    quota: float  # messages a second; 0: no quota
     policy_state: Any = None
 
 
 @dataclass(eq=False, slots=True)
 class DestinationKind:
-    batch_size: int = 1
-    limits_per_route: bool = False
+    """What holds for all destinations of a kind."""
+
+    batch_size: int = 1  # messages that may share a call
+    limits_per_route: bool = False  # limits and waits bind one route, rather than all of a destination
 
 
 @dataclass(eq=False, slots=True)
 class DeliverySettings:
-    """What an instance is told at its start."""
+    """What an instance is given at its start. Durations are seconds."""
 
     seed: int
-    instances: int
-    slots: int
-    room: int
-    max_attempts: int
+    instances: int  # dispatchers that share the limits of receivers, this one included
+    slots: int  # calls that may be in flight at once
+    room: int  # messages that may be pending at once
+    max_attempts: int  # for each message
     may_cancel: bool
     may_probe: bool
-    may_hedge: bool
-    must_fetch_list: bool
-    list_is_local: bool  # it answers at no cost
-    has_notices: bool  # a mail deferred or bounced is over only once its notice is answered
-    over_quota: float
-    max_retry_after: float
-    key_cooldown_time: float
-    start_capacity: float
-    tip_multiple: float
-    fall_time: float
-    warm_time: float
-    listed_rates: str
-    connect_timeout: float = 0.0  # a connection not up within it counts as none
-    idle_time: float = inf  # for which a receiver keeps an unused connection
-    drain_grace: float = 0.0  # for which an attempt being opened may still go to a route that drains since
-    handshake_cost: float = 0.0  # price of a new connection, in mails of importance 1
-    zone_fees: dict[str, float] = field(
-        default_factory=dict
-    )  # for each mail, by the zone of its route; the same
+    may_hedge: bool  # a second attempt may start while the first is in flight
+    must_fetch_list: bool  # the list comes only when it is asked for
+    list_is_local: bool  # fetching it costs nothing
+    has_notices: bool  # a deferred or bounced message is finished only once its notice is acknowledged
+    over_quota: float  # importance of a message above its customer's quota, from 0 to 1
+    max_retry_after: float  # the longest pause that a client is advised
+    key_cooldown_time: float  # pause of an ordering key after a call that may still run
+    start_capacity: float  # fraction of its capacity that a receiver has when it comes back cold
+    tip_multiple: float  # sent so many times the capacity that it has then, a cold receiver fails again ...
+    fall_time: float  # ... when that lasts for so long
+    warm_time: float  # until a cold receiver has its full capacity
+    listed_rates: str  # how far the rates of the list can be trusted: "nominal", "rough" or "off"
+    connect_timeout: float = 0.0  # a connection that is not up within it counts as none; 0: no limit
+    idle_time: float = inf  # for which a receiver keeps an idle connection
+    drain_grace: float = 0.0  # for which an attempt that is being opened may still go to a draining route
+    handshake_cost: float = 0.0  # of a new connection, in messages of importance 1
+    zone_fees: dict[str, float] = field(default_factory=dict)  # of each message by its route's zone, likewise
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What operators set for mails of a queue class at a destination, instead of what holds for all."""
+    """What operators set for messages of a queue class at a destination, in place of the general limits."""
 
     importance: float
     max_attempts: int
-    max_retry_after: float
-    max_copies: int  # attempts that may be out at once
-    copy_after: float  # when a second copy goes, counted from the first
+    max_retry_after: float  # seconds
+    max_copies: int  # attempts of one message that may be in flight at once
+    copy_after: float  # seconds from the first attempt to a hedged one
 
 
 @dataclass(eq=False, slots=True)
 class Destination:
+    """The one for whom messages are."""
+
     policy_state: Any = None
-    window: float = inf  # of calls in flight, as operators set it
+    window: float = inf  # calls that may be in flight, as operators set it
 
 
 @dataclass(eq=False, slots=True)
@@ -152,75 +160,80 @@
     destination: Destination
     zone: str
     kind: DestinationKind
-    listed_rate: float
+    listed_rate: float  # calls a second that it takes; 0 if not known
     listed_state: ListedState
     name: str = ""
     policy_state: Any = None
-    window: float = inf  # of calls in flight, as operators set it
-    timeouts: dict[QueueClass, float] = field(default_factory=dict)  # those that operators set
+    window: float = inf  # calls that may be in flight, as operators set it
+    timeouts: dict[QueueClass, float] = field(default_factory=dict)  # seconds, where operators set them
 
 
 @dataclass(eq=False, slots=True)
 class Message:
+    """An accepted message, as far as it matters to the decisions."""
+
     queue_class: QueueClass
     destination: Destination
-    time_left: float
+    time_left: float  # seconds of its lifetime
     customer: Customer | None = None
-    key: str | None = None
-    earlier_attempts: int = 0  # that an earlier life of this dispatcher had
-    age_of_first_run: float | None = (
-        None  # seconds since the first of those that may have run was sent; None: none may
-    )
+    key: str | None = None  # ordering key
+    earlier_attempts: int = 0  # made by previous processes of this dispatcher
+    # Seconds since the first earlier attempt that may have run was sent; None if none may have run.
+    age_of_first_run: float | None = None
     policy_state: Any = None
-    terms: Terms | None = None  # None: nothing was set
-    accepted_at: float = 0.0  # when; messages of a key go in that order, whichever process accepted them
-    awaits_notice: bool = False  # in an earlier life; its notice is not answered yet
-    call_interrupted: bool = False  # a call with it was out when the process that made it ended
+    terms: Terms | None = None  # None if operators set none
+    # Messages of a key go in the order of this moment, whichever process accepted them.
+    accepted_at: float = 0.0
+    awaits_notice: bool = False  # a previous process ended it; its notice is not acknowledged yet
+    call_interrupted: bool = False  # a call with it was in flight when the process that made it ended
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """Living processes of this dispatcher beside this one, while one hands over to the next."""
+    """What the peer processes of this dispatcher hold together, while one hands over to the next."""
 
-    processes: int = 0
+    processes: int = 0  # peer processes that live
     calls_in_flight: int = 0
-    calls_by_route: Mapping[str, int] = field(default_factory=dict)  # the same, by name of the route
+    calls_by_route: Mapping[str, int] = field(default_factory=dict)  # likewise, by the name of the route
     pending: int = 0  # messages
-    first_accepted_at: Mapping[str, float] = field(default_factory=dict)  # of those owed, by key
+    first_accepted_at: Mapping[str, float] = field(default_factory=dict)  # of pending messages, by key
 
 
 @dataclass(eq=False, slots=True)
 class Outcome:
+    """What came of an attempt or a probe."""
+
     result: AttemptResult
-    duration: float
-    finished: bool = False
-    requested_wait: float = 0.0
-    advertised_rate: float | None = (
-        None  # of the route, in calls a second; 0 where it has none, None where not told
-    )
-    advertised_left: float = 1.0  # of the limit, what is left as a share
-    started: bool = True  # not where it was held back before its first byte
-    connection_idle_time: float = (
-        0.0  # for how long its connection had been unused; 0 where it was new, or is not known
-    )
+    duration: float  # seconds
+    finished: bool = False  # the message is finished by it
+    requested_wait: float = 0.0  # seconds for which the receiver asked to be sent nothing
+    # The route's limit in calls a second; 0 if it stated that it has none, None if it stated nothing.
+    advertised_rate: float | None = None
+    advertised_left: float = 1.0  # the fraction of that limit that is left
+    started: bool = True  # False if it was held back before its first byte
+    connection_idle_time: float = 0.0  # seconds its connection had been idle; 0 if it was new, or not known
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
+    """Effect: send a message over a route."""
+
     message: Message
     route: Route
-    timeout: float
+    timeout: float  # seconds
     policy_state: Any = None
-    max_connection_idle_time: float = inf  # a connection unused for longer is not for it
+    max_connection_idle_time: float = inf  # a connection that was idle for longer must not be used, seconds
 
 
 @dataclass(eq=False, slots=True)
 class Cancel:
+    """Effect: give up an attempt in flight. Its outcome still follows."""
+
     attempt: Attempt
 
 
 class UndeliveredReason(Enum):
-    """Why a mail ends undelivered."""
+    """Why a message ends undelivered."""
 
     LIFETIME_OVER = "its lifetime is over"
     TAG_MAY_BE_FORGOTTEN = "its tag may be forgotten"
@@ -233,6 +246,8 @@
 
 @dataclass(eq=False, slots=True)
 class Defer:
+    """Effect: hand a message back to its client, which may try again after so many seconds (0: no advice)."""
+
     message: Message
     reason: UndeliveredReason
     retry_after: float = 0.0
@@ -240,52 +255,65 @@
 
 @dataclass(eq=False, slots=True)
 class Bounce:
+    """Effect: report that a message failed for good."""
+
     message: Message
     reason: UndeliveredReason
 
 
 @dataclass(eq=False, slots=True)
 class Probe:
+    """Effect: check a route without a message."""
+
     route: Route
-    timeout: float
+    timeout: float  # seconds
 
 
 @dataclass(eq=False, slots=True)
 class CloseIdleConnections:
-    """Close the connections to a route that no call uses just now."""
+    """Effect: close the connections to a route that no call uses at the moment."""
 
     route: Route
 
 
 @dataclass(eq=False, slots=True)
 class PeerNote:
+    """Effect: send bytes to another instance."""
+
     peer: int
     data: bytes
 
 
 @dataclass(eq=False, slots=True)
 class FetchList:
+    """Effect: ask for the endpoint list, or for updates of it (`watch`)."""
+
     watch: bool
-    max_wait: float  # how long the list may hold its answer back until there is news
-    timeout: float  # after which, past that, no answer is a failure
+    max_wait: float  # seconds for which the response may be held back until there is an update
+    timeout: float  # seconds beyond that, after which no response is a failure
 
 
 @dataclass(eq=False, slots=True)
 class StartTimer:
+    """Effect: call `timer_expired` with this name after so many seconds."""
+
     delay: float
     name: str
 
 
 @dataclass(eq=False, slots=True)
 class RouteFailed:
-    """A route went to nought: for other processes of this dispatcher."""
+    """Effect: tell peer processes that the circuit of a route opened after failures."""
 
     route: Route
 
 
 @dataclass(eq=False, slots=True)
 class RouteRecovered:
-    """It was served again; `back_at`: since when it is cold, in seconds; 0: it is not."""
+    """Effect: tell peer processes that a route was served again, or when it will be.
+
+    `recovered_at`: since when it is cold, in seconds of the clock; 0 if it is not cold.
+    """
 
     route: Route
     recovered_at: float
@@ -293,6 +321,8 @@
 
 @dataclass(eq=False, slots=True)
 class LogLine:
+    """Effect: log a line."""
+
     text: str
 
 
--- a/tests/assembled.py
+++ b/tests/assembled.py
@@ -60,7 +60,7 @@
         lines = {
             numbers[owner]: (
                 line.batch_size,
-                {route.name: lane.circuit for route, lane in line.route_states.items()},
+                {route.name: lane.circuit for route, lane in line.routes.items()},
             )
             for owner, line in control.destination_states.items()
         }
--- a/tests/test_changes_in_flight.py
+++ b/tests/test_changes_in_flight.py
@@ -67,9 +67,9 @@
     dispatcher.apply_change(put(endpoint("n1", "north"), endpoint("s1", "south", 9002)))
     mail = taken(dispatcher)
     dispatcher.apply_change(removal("endpoint.n1"))
-    assert dispatcher.core.control.destination_states[mail.destination].route_states == {}
+    assert dispatcher.core.control.destination_states[mail.destination].routes == {}
     dispatcher.apply_change(put(endpoint("n2", "north", 9003)))
-    lanes = dispatcher.core.control.destination_states[mail.destination].route_states
+    lanes = dispatcher.core.control.destination_states[mail.destination].routes
     assert [route.name for route in lanes] == ["n2"]
     assert mail.destination is dispatcher.core.book.destination("north")
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -544,7 +544,7 @@
         dock.mail(f"m{number}", "redeliverable")
         dock.turn()
         dock.end(f"m{number}", "served", report=(1.0, 0.0))
-    assert len(dock.control.ends) <= 64 + 2 and not dock.control.pending_count
+    assert len(dock.control.expiries) <= 64 + 2 and not dock.control.pending_count
 
 
 def test_a_route_whose_rate_is_not_known_starts_as_the_equal_of_one_that_told_its_own() -> None:
@@ -575,7 +575,7 @@
     dock.turn()
     dock.end("m", "error")
     dock.turn()
-    assert dock.control.line(dock.destinations["north"]).window >= 2
+    assert dock.control.destination_state_of(dock.destinations["north"]).window >= 2
     last = dock.out["m"]
     dock.after(0.8)
     assert dock.out["m"] is last
@@ -600,14 +600,14 @@
 def test_news_of_one_destination_walk_the_routes_of_no_other() -> None:
     dock = Dock(instances=9)
     dock.listed(*(f"north/{place}" for place in range(3)), "south/1")
-    south = dock.routes["south/1"].policy_state.destination_state
-    south.route_states = None  # whoever counts or walks them fails
+    south = dock.routes["south/1"].policy_state.destination
+    south.routes = None  # whoever counts or walks them fails
     dock.listed("north/1", state="draining")
     assert dock.routes["north/1"].policy_state.drained_at == dock.now
     dock.listed("north/3", "east/1")
     dock.listed("north/0", "north/0", state="removed")
     dock.listed("north/1")  # back
-    assert dock.control.known == 5  # north 1, 2 and 3, south, east
+    assert dock.control.routes_up == 5  # north 1, 2 and 3, south, east
 
 
 def test_whole_news_forget_what_they_do_not_name() -> None:
@@ -615,6 +615,6 @@
     dock.listed("north/1", "north/2", "south/1")
     dock.routes["north/2"].listed_state = dock.routes["south/1"].listed_state = interface.ListedState.REMOVED
     dock.control.list_updated(dock.now, [dock.routes["north/1"]], True)
-    assert dock.control.known == 1
-    assert [len(line.route_states) for line in dock.control.destination_states.values()] == [1, 0]
+    assert dock.control.routes_up == 1
+    assert [len(line.routes) for line in dock.control.destination_states.values()] == [1, 0]
     assert dock.routes["south/1"].policy_state.drained_at == dock.now
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -89,12 +89,12 @@
     """Every message of a key is queued at once, and has its turn whenever it is asked for."""
     control = quay.dispatcher.control
 
-    def wake(now: float, turns: KeyQueue) -> None:
-        for case in turns.messages:
+    def queue_all(now: float, key_queue: KeyQueue) -> None:
+        for case in key_queue.messages:
             if case.stage is MessageStage.WAITING and not case.queued:
                 control.enqueue(now, case)
 
-    control.wake = wake  # type: ignore[method-assign]
+    control.start_next_of_key = queue_all  # type: ignore[method-assign]
     control.has_turn = lambda *_: True  # type: ignore[method-assign]
 
 
@@ -141,7 +141,7 @@
 
 def repeated(quay: Quay) -> None:
     quay.put(quay.client(), "m1", "charge")
-    quay.dispatcher.control.may_go = lambda *_: True  # type: ignore[method-assign]
+    quay.dispatcher.control.may_attempt = lambda *_: True  # type: ignore[method-assign]
     quay.answer("1", "500 Internal Server Error")
     quay.after(3.0)
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -77,7 +77,7 @@
 ) -> None:
     """One failure and its rest make no run of failures; a mail alone needs no shaping, many do."""
     dock = served_once(instances, waiting)
-    assert dock.control.seldom
+    assert dock.control.sparse_traffic
     assert (dock.control.slow_start(dock.now, dock.routes["north/1"].policy_state) < 1) == cold
 
 
