--- a/benchmarks/capacity/thin_load.py
+++ b/benchmarks/capacity/thin_load.py
@@ -99,7 +99,10 @@
         Row(
             "longest rest of a dispatcher after an outage",
             "s",
-            assumed(1.25 * own, "the law of `DeliveryPolicy.apart`, for a destination of 20 calls a second"),
+            assumed(
+                1.25 * own,
+                "the law of `DeliveryPolicy.shared_retry_interval`, for a destination of 20 calls a second",
+            ),
             None,
             DECISIONS,
             "a mail that comes within it waits although the destination may be back",
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Short traces of decisions, compared with those in `traces/`, which are written to be read."""
+"""Short traces of decisions, compared with the ones kept in `traces/`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from laureldock import interface
 
 
-def test_draw_spreads_over_live_routes_by_their_rates() -> None:
+def test_messages_spread_over_closed_circuits_by_the_routes_rates() -> None:
     dock = Dock(slots=40)
     dock.listed("north/1", rate=300.0)
     dock.listed("north/2", rate=100.0)
@@ -19,8 +19,8 @@
     assert dock.same_as("draw")
 
 
-def test_while_slots_are_scarce_the_route_that_holds_them_short_gets_more() -> None:
-    """Each had its even share, though a call to the slow one held a slot as long as three others."""
+def test_while_slots_are_scarce_the_route_with_short_calls_gets_more() -> None:
+    """Guards against even shares while a call to one route holds a slot as long as three others."""
     dock = Dock(slots=8)
     dock.listed("north/1", "north/2", "south/1")
     drawn: list[str] = []
@@ -46,8 +46,8 @@
     assert dock.same_as("thrift")
 
 
-def test_calls_never_answered_give_way_while_all_slots_are_taken() -> None:
-    """They held them for three times what nine in ten take, and longer."""
+def test_calls_without_a_response_are_cancelled_while_all_slots_are_taken() -> None:
+    """Guards against silent calls that hold slots for three times what nine in ten calls take, and longer."""
     dock = Dock(slots=2)
     dock.listed("north/1", "south/1")
     dock.mail("paid", "once-only")
@@ -70,8 +70,8 @@
     assert dock.same_as("give-way")
 
 
-def test_a_once_only_call_never_answered_gives_way_at_twice_its_limit() -> None:
-    """Where it was the only one overdue it held its slot for its lifetime."""
+def test_a_once_only_call_without_a_response_is_cancelled_at_twice_its_limit() -> None:
+    """Guards against a single overdue call that holds its slot for the lifetime of its message."""
     dock = Dock(slots=4)
     dock.listed("north/1", "south/1", "east/1", "west/1")
     dock.mail("paid", "once-only")
@@ -86,7 +86,7 @@
     assert dock.same_as("give-way-once")
 
 
-def test_run_of_failures_gives_share_nought_until_a_trial_is_served() -> None:
+def test_a_run_of_failures_opens_the_circuit_until_a_trial_is_served() -> None:
     dock = Dock()
     dock.listed("north/1")
     for number in range(5):
@@ -102,8 +102,8 @@
     assert dock.same_as("failover")
 
 
-def test_told_wait_binds_also_beside_a_trial() -> None:
-    """A wait told by a call that was out beside the trial was once dropped."""
+def test_a_requested_wait_binds_also_beside_a_trial() -> None:
+    """Guards against dropping a wait that a call requests while a trial is in flight beside it."""
     dock = Dock()
     dock.listed("north/1")
     for number in range(3):
@@ -120,7 +120,7 @@
     assert dock.same_as("wait")
 
 
-def test_what_a_mail_may_still_have() -> None:
+def test_retries_by_queue_class_and_result() -> None:
     lines: list[str] = []
     for sort in ("redeliverable", "tagged", "once-only"):
         for ending in ("full", "error", "time-out"):
@@ -136,8 +136,8 @@
     assert dock.same_as("answers")
 
 
-def test_mails_of_a_key_go_in_turn_and_rest_after_a_time_out() -> None:
-    """A mail that was answered out of turn, and one whose attempt timed out, both leave the key at rest."""
+def test_messages_of_a_key_go_in_order_and_cool_down_after_a_timeout() -> None:
+    """A message withdrawn out of order, and one whose attempt timed out, both leave the key in cooldown."""
     dock = Dock()
     dock.listed("north/1", "north/2")
     for name in ("first", "second", "third"):
@@ -153,8 +153,8 @@
     assert dock.same_as("order")
 
 
-def test_a_rest_that_is_over_takes_nothing_from_what_has_come_of_its_key_since() -> None:
-    """It forgot the key's present messages with its own, and the next one did not wait for them."""
+def test_the_end_of_a_cooldown_leaves_newer_messages_of_its_key_alone() -> None:
+    """The end of a cooldown once dropped the key's newer messages, too: the next did not wait for them."""
     dock = Dock()
     dock.listed("north/1", "north/2")
     for name in ("w1", "w2", "w3"):  # the window of the destination grows with each that is served
@@ -175,8 +175,8 @@
     assert "third" in dock.out and "fourth" not in dock.out, dock.lines
 
 
-def test_a_key_that_another_process_owes_waits_and_what_it_leaves_goes_first() -> None:
-    """While two processes hand over, a key's next mail here once went out before the one owed there."""
+def test_a_key_pending_in_a_peer_process_waits_and_what_is_taken_over_goes_first() -> None:
+    """Guards against sending a key's next message here before the one that is pending in a peer process."""
     dock = Dock()
     dock.listed("north/1")
     dock.control.update_peer_load(
@@ -186,8 +186,8 @@
     dock.after(0.2)
     dock.say("the other process has ended; its mail of k is taken over")
     dock.control.update_peer_load(dock.now, interface.PeerLoad())
-    kind, owner = SORTS["in-order"], dock.destinations["north"]
-    there = interface.Message(kind, owner, kind.lifetime, None, "k", accepted_at=99.99)
+    queue_class, destination = SORTS["in-order"], dock.destinations["north"]
+    there = interface.Message(queue_class, destination, queue_class.lifetime, None, "k", accepted_at=99.99)
     dock.mails["there"], dock.names[there] = there, "there"
     dock.control.message_accepted(dock.now, there)
     dock.after(0.2)
@@ -196,8 +196,8 @@
     assert dock.same_as("handover")
 
 
-def test_limit_used_up_is_no_outage_and_mails_share_a_call() -> None:
-    """Fulls above a limit once gave a route share nought and a cold budget for a quarter of the day."""
+def test_a_limit_used_up_is_no_outage_and_messages_share_a_call() -> None:
+    """Refusals above a limit once opened circuits and left routes cold for a quarter of the day."""
     dock = Dock()
     dock.listed("north/1", rate=2.0, batch=5)
     for number in range(4):
@@ -212,8 +212,8 @@
     assert dock.same_as("limit")
 
 
-def test_refusals_above_a_limit_come_ever_rarer() -> None:
-    """Instances that each tried again as soon as a told wait was over once held a limit at nothing."""
+def test_calls_above_a_limit_become_ever_rarer() -> None:
+    """Instances that each retried as soon as a requested wait was over once kept a limit used up for good."""
     dock = Dock()
     dock.listed("north/1", rate=3.0)
     dock.mail("m", "redeliverable")
@@ -225,8 +225,8 @@
     assert dock.same_as("livelock")
 
 
-def test_a_silent_route_does_not_shut_its_destination() -> None:
-    """Two once-only mails that hung once filled a window that had shrunk, for their whole queue lifetime."""
+def test_a_silent_route_does_not_block_its_destination() -> None:
+    """Two once-only messages that hung once filled a shrunk window for their whole lifetime."""
     dock = Dock()
     dock.listed("north/1", "north/2")
     for number in range(4):
@@ -248,8 +248,8 @@
     assert dock.same_as("silence")
 
 
-def test_once_only_mails_wait_for_a_steady_route() -> None:
-    """A receiver that failed some of its calls once cost one bounce for each such mail that met it."""
+def test_once_only_messages_wait_for_a_steady_route() -> None:
+    """A receiver that failed some of its calls once bounced every such message that met it."""
     dock = Dock()
     dock.listed("north/1")
     for number in range(3):
@@ -265,8 +265,8 @@
     assert dock.same_as("steady")
 
 
-def test_a_mail_too_late_for_its_trial_leaves_the_route_free() -> None:
-    """A trial whose mail was given up instead of sent once left its route on trial for good."""
+def test_a_message_too_late_for_its_trial_does_not_leave_the_circuit_half_open() -> None:
+    """A trial whose message was given up instead of sent once left its circuit half-open for good."""
     dock = Dock()
     dock.listed("north/1")
     for number in range(6):
@@ -279,8 +279,8 @@
     assert dock.same_as("trial")
 
 
-def test_a_full_table_of_connections_is_no_outage() -> None:
-    """Connects that failed beside answered ones once gave a working route share nought and a cold budget."""
+def test_a_full_connection_table_is_no_outage() -> None:
+    """Failed connects beside served calls once opened the circuit of a working route and left it cold."""
     dock = Dock()
     dock.listed("north/1")
     for number in range(9):
@@ -294,7 +294,7 @@
     assert dock.same_as("table")
 
 
-def test_nothing_new_to_what_drains_and_late_mails_are_answered_in_time() -> None:
+def test_nothing_new_to_draining_routes_and_late_messages_end_in_time() -> None:
     dock = Dock()
     dock.mail("early", "redeliverable", left=1.0)
     dock.turn()
@@ -308,7 +308,7 @@
     assert dock.same_as("drain")
 
 
-def test_least_valuable_is_deferred_before_the_door_is_shut() -> None:
+def test_the_least_important_message_is_deferred_before_clients_are_refused() -> None:
     dock = Dock(room=5)
     for number in range(4):
         dock.mail(f"m{number}", ("redeliverable", "once-only")[number % 2])
@@ -317,7 +317,7 @@
     assert dock.same_as("room")
 
 
-def test_list_is_asked_for_at_start_and_after_failures() -> None:
+def test_the_list_is_fetched_at_start_and_after_failures() -> None:
     dock = Dock(must_fetch_list=True)
     dock.turn()
     for _ in range(3):
@@ -328,8 +328,9 @@
     assert dock.same_as("list")
 
 
-def test_of_many_each_calls_at_once_and_earns_what_was_refused() -> None:
-    """Even parts of a hundred instances once held first mails a minute; the refused came back too soon."""
+def test_with_many_instances_each_calls_at_once_and_earns_calls_after_a_refusal() -> None:
+    """Even fractions of a hundred instances once held first messages for a minute; refused ones were retried
+    too soon."""
     dock = Dock(instances=100)
     dock.listed("north/1", rate=5.0)
     dock.mail("m0", "redeliverable")
@@ -341,8 +342,8 @@
     assert dock.same_as("earned")
 
 
-def test_of_many_each_tries_rarely_and_returns_slowly() -> None:
-    """Trials of many instances alone overran a receiver that came back cold; so did what they held."""
+def test_with_many_instances_trials_are_rare_and_recovery_is_slow() -> None:
+    """Trials of many instances alone once overloaded a receiver that was back and cold; so did backlogs."""
     dock = Dock(instances=100)
     dock.listed("north/1", rate=5.0)
     for number in range(12):
@@ -353,9 +354,9 @@
     assert dock.same_as("crowd")
 
 
-def test_idle_connections_close_sooner_where_connects_find_none() -> None:
-    """Those that hundreds of instances kept idle left no room in tables; kept for a tenth of a second, all
-    paid a handshake for each mail where no table was short."""
+def test_idle_connections_close_sooner_where_connects_fail() -> None:
+    """Idle connections of hundreds of instances once filled receivers' tables. Kept for a tenth of a
+    second, each message paid a handshake also where there was room."""
     dock = Dock(instances=10)
     dock.listed("north/1", "south/1", *(f"west/{place}" for place in range(8)), rate=1000.0)
     for number, ending in enumerate(("served", "no connection", "no connection", "no connection")):
@@ -366,8 +367,8 @@
     assert dock.same_as("hang-up")
 
 
-def test_a_tagged_mail_that_may_have_run_goes_again_only_in_its_building() -> None:
-    """It was bounced; in another building a repeat would be a second effect."""
+def test_a_tagged_message_that_may_have_run_is_retried_only_in_its_zone() -> None:
+    """It was once bounced instead; in another zone a repeat would have a second effect."""
     dock = Dock()
     dock.listed("north/1", zone="a")
     dock.mail("m", "one-zone")
@@ -378,13 +379,13 @@
     dock.end("m", "full")  # it may still run from its first attempt
     dock.after(0.5)
     dock.end("m", "reset")
-    dock.listed("north/1", state="removed")  # the only live routes left stand in another building
-    dock.after(6.0)  # the window ends while nothing can go
+    dock.listed("north/1", state="removed")  # the only routes left are in another zone
+    dock.after(6.0)  # its tag expires while nothing can be sent
     assert dock.same_as("one-zone")
 
 
 def test_routes_without_a_zone_are_one_zone_of_their_own() -> None:
-    """An empty name was taken for none: the mail went on to another zone, though it may have run."""
+    """An empty name was once taken for none: the message went on to another zone, though it may have run."""
     dock = Dock()
     dock.listed("north/1", zone="")
     dock.mail("m", "one-zone")
@@ -398,7 +399,7 @@
     )
 
 
-def test_a_tagged_mail_that_never_ran_goes_to_any_building() -> None:
+def test_a_tagged_message_that_never_ran_goes_to_any_zone() -> None:
     dock = Dock()
     dock.listed("north/1", zone="a")
     dock.mail("m", "one-zone")
@@ -410,7 +411,7 @@
     assert dock.out["m"].route.zone == "b"
 
 
-def test_a_copy_stays_in_the_building_of_the_first() -> None:
+def test_a_hedged_attempt_stays_in_the_zone_of_the_first() -> None:
     dock = Dock(may_hedge=True, slots=20)
     for place in ("1", "2"):
         dock.listed(f"north/a{place}", zone="a")
@@ -420,7 +421,7 @@
         dock.mail(name, "one-zone", terms=interface.Terms(1.0, 4, 1.0, 2, 0.1))
         dock.after(0.2)
         dock.end(name, "served")
-    sent: dict[str, list[str]] = {}  # the building of each first and of its copy
+    sent: dict[str, list[str]] = {}  # the zones of each first attempt and of its hedge
     for line in dock.lines:
         if " to north/" in line:
             sent.setdefault(line.split()[2], []).append(line.split()[4][6])
@@ -428,7 +429,7 @@
     assert all(len(set(zones)) == 1 for zones in sent.values())
 
 
-def test_time_outs_and_windows_that_operators_set_stand_instead_of_what_was_learned() -> None:
+def test_timeouts_and_windows_set_by_operators_replace_learned_ones() -> None:
     dock = Dock(slots=20)
     dock.listed("north/1", "south/1")
     dock.routes["north/1"].timeouts = {SORTS["once-only"]: 1.5, SORTS["redeliverable"]: 4.5}
@@ -442,12 +443,12 @@
         dock.turn()
         if number < 4:
             dock.end(f"s{number}", "served")
-    dock.after(4.4)  # n1 is not overdue: its time-out was set
+    dock.after(4.4)  # n1 is not overdue: its timeout was set
     assert sum(name.startswith("s") for name in dock.out) == 2 and "n1" in dock.out
     assert dock.same_as("terms")
 
 
-def test_mails_keep_the_connects_the_wait_and_the_importance_set_for_them() -> None:
+def test_messages_keep_the_attempts_the_wait_and_the_importance_set_for_them() -> None:
     dock = Dock()
     dock.listed("north/1", "north/2")
     few = interface.Terms(1.0, 1, 0.5, 1, 1.0)
@@ -462,8 +463,8 @@
     assert dock.same_as("terms-of-mails")
 
 
-def test_a_second_copy_goes_over_another_route_and_the_slower_one_is_called_off() -> None:
-    """Only where copies are allowed, never for what may not run twice or keeps an order."""
+def test_a_hedged_attempt_goes_over_another_route_and_the_slower_one_is_cancelled() -> None:
+    """Only where hedging is allowed, never for messages that may not run twice or keep an order."""
     hedge = interface.Terms(1.0, 4, 3.0, 2, 0.5)
     dock = Dock(may_hedge=True, slots=20)
     dock.listed("north/1", "north/2")
@@ -482,7 +483,7 @@
     assert dock.same_as("copies")
 
 
-def test_a_copy_that_fails_leaves_the_other_one_out_and_both_failing_tries_anew() -> None:
+def test_a_hedged_attempt_that_fails_leaves_the_first_in_flight_and_both_failing_retries() -> None:
     dock = Dock(may_hedge=True, slots=20)
     dock.listed("north/1", "north/2")
     dock.mail("m1", "redeliverable")
@@ -501,8 +502,8 @@
     assert "m2" in dock.out and dock.same_as("copies-failing")
 
 
-def test_a_copy_that_is_out_while_the_window_ends_is_waited_for_and_nothing_more_goes() -> None:
-    """The window counts from the first attempt; a third one after it would be a second effect."""
+def test_a_hedged_attempt_in_flight_when_the_tag_expires_is_waited_for_and_nothing_more_goes() -> None:
+    """The tag is remembered from the first attempt on; a third one after that would have a second effect."""
     dock = Dock(may_hedge=True, slots=20)
     dock.listed("north/1", "north/2", "north/3")
     dock.mail("m1", "tagged")
@@ -515,15 +516,15 @@
     copy = dock.out["m2"]
     assert copy is not first
     dock.out["m2"] = first
-    dock.end("m2", "error")  # known not to be repeated, and the copy may still run
+    dock.end("m2", "error")  # not retried: the hedged attempt may still run
     dock.out["m2"] = copy
     dock.after(1.0)
-    dock.end("m2", "error")  # the window of six seconds is over
+    dock.end("m2", "error")  # the six seconds of the tag are over
     dock.after(3.0)
     assert dock.same_as("copies-window")
 
 
-def test_a_connect_being_opened_may_still_go_to_a_route_that_drains_within_the_grace() -> None:
+def test_an_attempt_being_opened_may_still_go_to_a_draining_route_within_the_grace() -> None:
     for grace, may in ((0.0, False), (0.5, True)):
         dock = Dock(drain_grace=grace)
         dock.listed("north/1")
@@ -536,8 +537,8 @@
         assert not dock.control.may_start(dock.now + 0.6, attempt)
 
 
-def test_mails_that_are_over_leave_the_list_of_lifetimes() -> None:
-    """Each stayed until its lifetime was up, and memory grew with the load."""
+def test_finished_messages_leave_the_heap_of_expiries() -> None:
+    """Guards against entries that stay until the lifetime ends: memory grew with the load."""
     dock = Dock(slots=20)
     dock.listed("north/1")
     for number in range(600):
@@ -547,8 +548,8 @@
     assert len(dock.control.expiries) <= 64 + 2 and not dock.control.pending_count
 
 
-def test_a_route_whose_rate_is_not_known_starts_as_the_equal_of_one_that_told_its_own() -> None:
-    """It was drawn once in forty mails beside a route that had told a limit of forty."""
+def test_a_route_of_unknown_rate_starts_as_the_equal_of_one_that_advertised_its_own() -> None:
+    """It was once drawn for one of forty messages, beside a route that advertised a limit of forty."""
     dock = Dock(slots=40)
     dock.listed("north/1", "north/2", rate=0.0)
     drawn: list[str] = []
@@ -556,14 +557,14 @@
         dock.mail(f"m{number}", "redeliverable")
         dock.turn()
         drawn.append(dock.out[f"m{number}"].route.name)
-        told = (1.0, 40.0) if drawn[-1] == "north/1" else None
-        dock.end(f"m{number}", "served", report=told)
+        report = (1.0, 40.0) if drawn[-1] == "north/1" else None
+        dock.end(f"m{number}", "served", report=report)
         dock.now += 0.1
     assert 12 <= drawn.count("north/2") <= 28
 
 
-def test_a_second_copy_counts_as_a_connect() -> None:
-    """A mail on its last attempt was given one more than it may have."""
+def test_a_hedged_attempt_counts_as_an_attempt() -> None:
+    """Guards against a message on its last attempt that gets one more by hedging."""
     dock = Dock(may_hedge=True, slots=20)
     dock.listed("north/1", "north/2")
     for number in range(6):  # the window grows, and is halved by the error below
@@ -581,8 +582,8 @@
     assert dock.out["m"] is last
 
 
-def test_of_many_a_full_table_of_connections_takes_nothing_of_the_part_of_a_limit() -> None:
-    """Forty each left with two fifths of their part at every such failure held a limit unused."""
+def test_with_many_instances_a_full_connection_table_does_not_lower_the_rate() -> None:
+    """Forty instances that cut their rates to two fifths at every such failure once left a limit unused."""
     dock = Dock(instances=40)
     dock.listed("north/1", rate=60.0)
     sent: list[str] = []
@@ -597,11 +598,11 @@
     assert len(sent) > 40, "".join(sent)  # 22 before
 
 
-def test_news_of_one_destination_walk_the_routes_of_no_other() -> None:
+def test_a_list_update_of_one_destination_walks_the_routes_of_no_other() -> None:
     dock = Dock(instances=9)
     dock.listed(*(f"north/{place}" for place in range(3)), "south/1")
     south = dock.routes["south/1"].policy_state.destination
-    south.routes = None  # whoever counts or walks them fails
+    south.routes = None  # anything that counts or walks them fails
     dock.listed("north/1", state="draining")
     assert dock.routes["north/1"].policy_state.drained_at == dock.now
     dock.listed("north/3", "east/1")
@@ -610,11 +611,11 @@
     assert dock.control.routes_up == 5  # north 1, 2 and 3, south, east
 
 
-def test_whole_news_forget_what_they_do_not_name() -> None:
+def test_a_full_list_removes_what_it_does_not_name() -> None:
     dock = Dock(instances=9)
     dock.listed("north/1", "north/2", "south/1")
     dock.routes["north/2"].listed_state = dock.routes["south/1"].listed_state = interface.ListedState.REMOVED
     dock.control.list_updated(dock.now, [dock.routes["north/1"]], True)
     assert dock.control.routes_up == 1
-    assert [len(line.routes) for line in dock.control.destination_states.values()] == [1, 0]
+    assert [len(destination.routes) for destination in dock.control.destination_states.values()] == [1, 0]
     assert dock.routes["south/1"].policy_state.drained_at == dock.now
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -17,7 +17,7 @@
 
 
 def allow_all(quay: Quay) -> None:
-    """The guard of sending says yes, whatever it is asked."""
+    """Break the check before a send: it allows every attempt."""
     quay.dispatcher.control.may_start = lambda *_: True  # type: ignore[method-assign]
 
 
@@ -86,16 +86,16 @@
 
 
 def no_turns(quay: Quay) -> None:
-    """Every message of a key is queued at once, and has its turn whenever it is asked for."""
-    control = quay.dispatcher.control
+    """Break the order of keys: every message of a key is queued at once, and always has its turn."""
+    policy = quay.dispatcher.control
 
     def queue_all(now: float, key_queue: KeyQueue) -> None:
-        for case in key_queue.messages:
-            if case.stage is MessageStage.WAITING and not case.queued:
-                control.enqueue(now, case)
+        for message in key_queue.messages:
+            if message.stage is MessageStage.WAITING and not message.queued:
+                policy.enqueue(now, message)
 
-    control.start_next_of_key = queue_all  # type: ignore[method-assign]
-    control.has_turn = lambda *_: True  # type: ignore[method-assign]
+    policy.start_next_of_key = queue_all  # type: ignore[method-assign]
+    policy.has_turn = lambda *_: True  # type: ignore[method-assign]
 
 
 def sent_out_of_order(quay: Quay) -> None:
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -1,4 +1,4 @@
-"""What many decision modules send, in sum, to a receiver that is back: each window against its bound."""
+"""What many instances send in sum to a receiver that has recovered: each window against its bound."""
 
 from __future__ import annotations
 
@@ -13,27 +13,29 @@
 SEEDS = 3
 
 
-def over(size: int, seen: str, restart: bool) -> float:
+def fraction_over_bound(size: int, seen: str, restart: bool) -> float:
     runs = [ramp.play(size, seen, seed, restart) for seed in range(SEEDS)]
     return sum(run[1] for run in runs) / sum(run[0] for run in runs)
 
 
 @pytest.mark.parametrize("restart", [False, True])
 @pytest.mark.parametrize("size", [2, 3, 8, 9, 12, 16, 20, 24, 28, 30, 40, 200])
-def test_hardly_a_window_has_more_than_a_receiver_that_is_back_bears(size: int, restart: bool) -> None:
-    """What waited went at once after a failure or two: 0.18 of 200's windows, 0.06 of 40's, 0.08 of 20's."""
-    assert over(size, "all", restart) < 0.04
+def test_hardly_a_window_has_more_calls_than_a_recovered_receiver_bears(size: int, restart: bool) -> None:
+    """Backlogs once went at once after a failure or two. Over the bound were 0.18 of the windows with 200
+    instances, 0.06 with 40, 0.08 with 20."""
+    assert fraction_over_bound(size, "all", restart) < 0.04
 
 
-def test_what_is_held_back_by_it_is_served_soon_after() -> None:
-    """Since the return, and with what had waited; the receiver bears no more than that sooner."""
+def test_messages_held_back_by_it_are_served_soon_after() -> None:
+    """Counted from the recovery, with the backlog; the receiver could not bear it sooner."""
     served = [ramp.play(200, "all", seed)[4] for seed in range(SEEDS)]
     assert min(served) > 1.3
 
 
 @pytest.mark.parametrize(("ending", "cold"), [("full", False), ("error", True)])
 def test_a_route_that_refused_for_a_second_is_not_cold(ending: str, cold: bool) -> None:
-    """Of many that meet it often: refused on a busy calm day, it held up the mails worth least."""
+    """Guards against a route that many instances call often and take for cold after refusals: on a busy day
+    without faults that held up the messages of least importance."""
     dock = Dock(instances=200, connect_timeout=1.5, max_attempts=9)
     dock.listed("north/1")
     ended, due = 0, dock.now
@@ -46,13 +48,13 @@
             dock.end(name, ending if ended < 3 else "served")
         if ended == 3:
             break
-    lane = dock.routes["north/1"].policy_state
+    route = dock.routes["north/1"].policy_state
     assert any("served" in line for line in dock.lines)
-    assert (dock.control.slow_start(dock.now, lane) < 1) == cold
+    assert (dock.control.slow_start(dock.now, route) < 1) == cold
 
 
 def served_once(instances: int, waiting: int) -> Dock:
-    """A dispatcher that meets routes seldom; one of them was silent once, and is back with its first call."""
+    """A dispatcher that calls routes rarely; one was silent once, and is served with its first call."""
     dock = Dock(instances=instances, connect_timeout=1.5, max_attempts=9)
     dock.listed("north/1", rate=10.0)
     dock.listed(*(f"other/{place}" for place in range(20)))
@@ -72,25 +74,25 @@
 
 @pytest.mark.parametrize("instances", [9, 20, 30])
 @pytest.mark.parametrize(("waiting", "cold"), [(1, False), (9, True)])
-def test_of_a_route_met_seldom_that_was_silent_what_waits_goes_as_to_a_cold_one(
+def test_a_backlog_for_a_rarely_called_route_that_was_silent_goes_as_to_a_cold_one(
     instances: int, waiting: int, cold: bool
 ) -> None:
-    """One failure and its rest make no run of failures; a mail alone needs no shaping, many do."""
+    """One failure and its backoff are no run of failures; a single message needs no shaping, many do."""
     dock = served_once(instances, waiting)
     assert dock.control.sparse_traffic
     assert (dock.control.slow_start(dock.now, dock.routes["north/1"].policy_state) < 1) == cold
 
 
-def test_of_many_one_alone_sends_what_waited_no_faster_than_the_rate_of_a_route_that_was_cold() -> None:
-    """Once the route was warm all went at twenty a second from each that held some; it takes ten."""
+def test_one_of_many_instances_sends_a_backlog_no_faster_than_the_rate_of_a_route_that_was_cold() -> None:
+    """Once the route was warm, each instance sent its backlog at twenty a second; the route takes ten."""
     dock = served_once(20, 90)
-    lane = dock.routes["north/1"].policy_state
+    route = dock.routes["north/1"].policy_state
     most = ended = 0
     for _ in range(round(30 / 0.05)):  # all calls are answered at once
         dock.after(0.05)
         for name in sorted(dock.out):
             dock.end(name, "served", took=0.05)
-            ended += dock.control.slow_start(dock.now, lane) == 1
+            ended += dock.control.slow_start(dock.now, route) == 1
         most = max(most, sum("to north/1," in line and at(line) > dock.now - 101 for line in dock.lines))
     assert ended > 20 and most <= 11, (ended, most)
 
@@ -101,8 +103,8 @@
 
 @pytest.mark.parametrize("load", [8, 15, 25])
 @pytest.mark.parametrize("outage", [0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 6.0])
-def test_a_short_outage_is_one_too_for_a_dispatcher_that_is_alone(outage: float, load: float) -> None:
-    """Of under three seconds it passed for none, and all that had waited went at once: 63 calls of 46."""
+def test_a_short_outage_counts_as_one_for_a_dispatcher_that_is_alone(outage: float, load: float) -> None:
+    """Under three seconds it passed for none, and the backlog went at once: 63 calls where 46 were borne."""
     rate, start, warm, fall, tip = 40.0, 0.3, 4.0, 1.5, 1.5
     dock = Dock(
         instances=1, slots=64, room=2000, start_capacity=start, tip_multiple=tip, fall_time=fall,
@@ -110,38 +112,38 @@
     )  # fmt: skip
     dock.listed("north/1", rate=rate)
     chance = random.Random(1)
-    began = next_mail = dock.now
-    back = began + 3.0 + outage
-    answers: list[tuple[float, str, bool]] = []  # when, of which mail, whether it is served
+    started_at = next_message_at = dock.now
+    recovered_at = started_at + 3.0 + outage
+    responses: list[tuple[float, str, bool]] = []  # when, for which message, whether it is served
     sent: list[float] = []
-    while dock.now < back + warm:
+    while dock.now < recovered_at + warm:
         dock.now += 0.02
-        while next_mail <= dock.now:
-            dock.mail(f"m{next_mail}", "redeliverable")
-            next_mail += chance.expovariate(load)
-        up = not began + 3.0 <= dock.now < back
+        while next_message_at <= dock.now:
+            dock.mail(f"m{next_message_at}", "redeliverable")
+            next_message_at += chance.expovariate(load)
+        up = not started_at + 3.0 <= dock.now < recovered_at
         for effect in dock.control.turn(dock.now):
             if isinstance(effect, interface.Attempt):
                 name = dock.names[effect.message]
                 dock.out[name] = effect
-                answers.append((dock.now + (0.06 if up else 0.0), name, up))
-                sent += [dock.now] if dock.now >= back else []
+                responses.append((dock.now + (0.06 if up else 0.0), name, up))
+                sent += [dock.now] if dock.now >= recovered_at else []
             elif isinstance(effect, interface.StartTimer) and effect.name == "sweep":
                 dock.control.timer_expired(dock.now, "sweep")
-        for answer in [each for each in answers if each[0] <= dock.now]:
-            answers.remove(answer)
-            dock.end(answer[1], "served" if answer[2] else "no connection", took=0.06)
+        for response in [each for each in responses if each[0] <= dock.now]:
+            responses.remove(response)
+            dock.end(response[1], "served" if response[2] else "no connection", took=0.06)
     assert sent
     for since in sent:
-        capacity = rate * min(1.0, start + (1 - start) * (since - back) / warm)
+        capacity = rate * min(1.0, start + (1 - start) * (since - recovered_at) / warm)
         bears = tip * capacity * fall
         count = sum(since <= at < since + fall for at in sent)
         spread = 3 * bears**0.5 + 3 if bears < 30 else 2 * bears**0.5 + 2
-        assert count <= bears + spread, f"{count} calls at {since - back:.2f} s, {bears:.0f} borne"
+        assert count <= bears + spread, f"{count} calls at {since - recovered_at:.2f} s, {bears:.0f} borne"
 
 
-def test_a_route_that_told_to_wait_and_then_failed_is_cold_when_it_is_back() -> None:
-    """Its trials failed, but no run of failures had shut it: it passed for one that had only waited."""
+def test_a_route_that_requested_a_wait_and_then_failed_is_cold_when_it_recovers() -> None:
+    """Its trials failed, but no run of failures had opened its circuit: it passed for one that waited."""
     dock = Dock(
         instances=1, slots=64, room=2000, start_capacity=0.3, tip_multiple=1.5, fall_time=1.5, warm_time=4.0,
         max_attempts=8,
--- a/tests/test_seldom.py
+++ b/tests/test_seldom.py
@@ -1,4 +1,4 @@
-"""Many modules side by side on one emulated receiver that each of them seldom meets: what they do in sum."""
+"""Many instances side by side that each call one emulated receiver rarely: what they do in sum."""
 
 from __future__ import annotations
 
@@ -20,13 +20,14 @@
         ]
         for dock in self.docks:
             dock.listed("north/1", rate=LIMIT)
-            dock.listed(*(f"other/{place}" for place in range(size)))  # of as many routes each is met seldom
+            # As many routes as instances: each is called rarely.
+            dock.listed(*(f"other/{place}" for place in range(size)))
         self.sent: list[float] = []
         self.served = 0
         self.now = 0.0
 
-    def step(self, answer: object, silent: bool = False) -> None:
-        """A twentieth of a second; calls are answered at once, those of a silent receiver after 1.5 s."""
+    def step(self, respond: object, silent: bool = False) -> None:
+        """Play 0.05 s; calls end at once, those to a silent receiver after 1.5 s."""
         self.now += 0.05
         for dock in self.docks:
             dock.after(0.05)
@@ -36,25 +37,28 @@
                     self.sent.append(self.now)
                 if silent and self.now - due < 1.5:
                     continue
-                ending = "no connection" if silent else answer()  # type: ignore[operator]
+                ending = "no connection" if silent else respond()  # type: ignore[operator]
                 self.served += ending == "served"
                 dock.end(name, ending, took=1.5 if silent else 0.1)
 
-    def over(self, back: float, span: float, multiple: float) -> float:
-        """The most that any such span had of what a receiver bears that is back and warms for ten seconds."""
+    def highest_load(self, recovered_at: float, span: float, multiple: float) -> float:
+        """The highest ratio, over all spans, of calls to what a receiver bears that recovered then.
+
+        It warms up within ten seconds.
+        """
         times, most = deque[float](), 0.0
-        for at in (each for each in self.sent if each > back):
+        for at in (each for each in self.sent if each > recovered_at):
             times.append(at)
             while times[0] <= at - span:
                 times.popleft()
-            middle = max(back, at - span / 2)
-            can = LIMIT * min(1.0, 0.2 + 0.8 * (middle - back) / 10.0)
-            most = max(most, len(times) / (multiple * can * span))
+            middle = max(recovered_at, at - span / 2)
+            capacity = LIMIT * min(1.0, 0.2 + 0.8 * (middle - recovered_at) / 10.0)
+            most = max(most, len(times) / (multiple * capacity * span))
         return most
 
 
 class Spans:
-    """A count in each span of two seconds, of which refused calls are no part."""
+    """A fixed-window limit over two seconds, in which refused calls do not count."""
 
     def __init__(self, fleet: Fleet, phase: float) -> None:
         self.fleet, self.phase, self.span, self.left = fleet, phase, -1, 0
@@ -68,39 +72,39 @@
 
 
 @pytest.mark.parametrize("phase", [0.0, 0.7, 1.6])
-def test_a_clump_over_a_count_in_each_span_is_served_in_few_calls(phase: float) -> None:
-    """Forty dispatchers have a mail each, and one of them a fifth of all; the span's phase is not known.
+def test_a_burst_above_a_fixed_window_limit_is_served_in_few_calls(phase: float) -> None:
+    """Forty dispatchers have a message each, one of them a fifth of all; the window's phase is not known.
 
-    Earned by what came in, those refused waited for half a minute and more; at once, nine in ten calls were
-    refused.
+    With credit earned by incoming messages alone, refused ones waited for half a minute and more; with calls
+    at once, nine in ten were refused.
     """
     fleet = Fleet(40)
     for number, dock in enumerate(fleet.docks):
-        for mail in range(10 if number == 7 else 1):
-            dock.mail(f"m{mail}", "redeliverable", left=25.0)
-    answer = Spans(fleet, phase)
+        for place in range(10 if number == 7 else 1):
+            dock.mail(f"m{place}", "redeliverable", left=25.0)
+    respond = Spans(fleet, phase)
     while fleet.now < 20:
-        fleet.step(answer)
+        fleet.step(respond)
     assert fleet.served == 49, fleet.served
     assert len(fleet.sent) <= 2.5 * 49, len(fleet.sent)
 
 
-def test_a_clump_that_ran_into_silence_does_not_push_over_what_comes_back() -> None:
-    """Each came again after 0.1 to 4 s: a receiver 3 s back was sent 3.3 times what it could do."""
-    fleet = Fleet(20)  # a clump of two seconds' worth
+def test_a_burst_that_met_a_silent_receiver_does_not_overload_it_when_it_recovers() -> None:
+    """With retries after 0.1 to 4 s, a receiver 3 s after its recovery got 3.3 times what it could do."""
+    fleet = Fleet(20)  # a burst of two seconds' worth
     for dock in fleet.docks:
         dock.mail("m", "redeliverable", left=60.0)
     while fleet.now < 12:
         fleet.step(None, silent=True)
     while fleet.now < 40:
         fleet.step(lambda: "served")
-    assert fleet.over(12.0, 3.0, 2.0) <= 1.0, fleet.over(12.0, 3.0, 2.0)
+    assert fleet.highest_load(12.0, 3.0, 2.0) <= 1.0, fleet.highest_load(12.0, 3.0, 2.0)
     assert fleet.served >= 18, fleet.served
 
 
 @pytest.mark.parametrize("size", [16, 24, 32])
-def test_the_end_of_a_wait_told_to_many_does_not_bring_all_of_them_at_once(size: int) -> None:
-    """A receiver that is shut tells everyone the same end: 25 of 32 sent at it, and it fell over."""
+def test_the_end_of_a_wait_requested_of_many_does_not_bring_all_of_them_at_once(size: int) -> None:
+    """A closed receiver requests a wait until the same moment from all: 25 of 32 sent then, and it failed."""
     fleet, opens, span = Fleet(size), 10.0, 1.0
     for dock in fleet.docks:
         dock.listed(*(f"spare/{place}" for place in range(24)))
@@ -132,7 +136,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.permutations(EVENTS), st.floats(0.0, 2.5))
-def test_the_wake_after_a_stall_keeps_the_rules_whatever_the_order_of_events(
+def test_the_turn_after_a_stall_keeps_the_rules_whatever_the_order_of_events(
     order: list[str], stalled: float
 ) -> None:
     dock = Dock(slots=20)
@@ -163,7 +167,7 @@
     assert not any("-> n " in line or "-> s to" in line for line in after)
 
 
-def test_a_told_wait_that_ended_while_the_dispatcher_stood_still_binds_no_longer() -> None:
+def test_a_requested_wait_that_ended_during_a_stall_binds_no_longer() -> None:
     dock = Dock()
     dock.listed("north/1")
     dock.mail("m", "redeliverable")
@@ -193,16 +197,16 @@
     assert dock.out
 
 
-def seldom(**changes: float) -> Dock:
-    """One of twenty dispatchers that meet each of many routes seldom."""
+def rare_caller(**changes: float) -> Dock:
+    """One of twenty dispatchers that call each of many routes rarely."""
     dock = Dock(instances=20, **changes)
     dock.listed(*(f"other/{place}" for place in range(20)))
     return dock
 
 
-def test_a_late_answer_takes_back_the_rest_that_its_lateness_set() -> None:
-    """A slow route was rested for ten seconds and more after each call that took twice the usual."""
-    dock = seldom(slots=8)
+def test_a_late_response_takes_back_the_backoff_that_its_lateness_set() -> None:
+    """A slow route was once left alone for ten seconds and more after each call that took twice the usual."""
+    dock = rare_caller(slots=8)
     dock.listed("north/1", rate=2.0)
     dock.mail("m", "redeliverable")
     dock.after(3.5)  # overdue after three
@@ -214,8 +218,8 @@
     assert "m2" in dock.out
 
 
-def test_a_late_answer_takes_nothing_back_where_another_call_failed_before_it() -> None:
-    dock = seldom(slots=8)
+def test_a_late_response_takes_nothing_back_where_another_call_failed_before_it() -> None:
+    dock = rare_caller(slots=8)
     dock.listed("north/1", rate=2.0)
     for name in ("a", "b"):  # the window opens with the first
         dock.mail(name, "redeliverable")
@@ -229,9 +233,9 @@
     assert dock.control.excluded_routes(dock.now) == 1
 
 
-def test_a_mail_that_no_other_route_of_its_building_may_get_is_waited_for() -> None:
-    """Called off as soon as it was overdue it was bounced later, though its receiver was only slow."""
-    dock = seldom(slots=3)
+def test_a_message_that_no_other_route_of_its_zone_may_get_is_waited_for() -> None:
+    """Cancelled as soon as it was overdue, it was later bounced, though its receiver was only slow."""
+    dock = rare_caller(slots=3)
     dock.listed("north/1", zone="here")
     dock.listed("north/2", zone="there")
     for name in ("a", "b", "c"):  # all slots
@@ -243,13 +247,13 @@
 
 
 @pytest.mark.parametrize(("ending", "took", "most"), [("no connection", 1.5, 0.45), ("full", 0.1, 0.6)])
-def test_those_that_met_an_outage_one_after_the_other_stay_the_lesser_part(
+def test_instances_that_met_an_outage_one_by_one_stay_the_lesser_part(
     ending: str, took: float, most: float
 ) -> None:
-    """With shorter first rests as many came again at any time as met it anew, or twice as many."""
-    fleet, back = Fleet(120), 15.0
+    """With shorter first backoffs, retries were as many at any time as first calls, or twice as many."""
+    fleet, recovered_at = Fleet(120), 15.0
     sent: dict[int, list[float]] = {}
-    while fleet.now < back + 6:
+    while fleet.now < recovered_at + 6:
         if round(fleet.now / 0.05) % 8 == 0:  # 2.5 a second, each its first and only one
             fleet.docks[round(fleet.now / 0.4)].mail("m", "redeliverable", left=60.0)
         for place, dock in enumerate(fleet.docks):
@@ -259,13 +263,16 @@
                 sent.setdefault(place, []).append(fleet.now)
                 dock.calls[attempt] = fleet.now
             for name, attempt in sorted(dock.out.items()):
-                if dock.calls[attempt] < back and fleet.now - dock.calls[attempt] >= took:
+                if dock.calls[attempt] < recovered_at and fleet.now - dock.calls[attempt] >= took:
                     dock.end(name, ending, took=took)
-                elif dock.calls[attempt] >= back:
+                elif dock.calls[attempt] >= recovered_at:
                     dock.end(name, "served", took=0.1)
         fleet.now += 0.05
     late = [
-        (at, any(one < back - took for one in times)) for times in sent.values() for at in times if at >= back
+        (at, any(one < recovered_at - took for one in times))
+        for times in sent.values()
+        for at in times
+        if at >= recovered_at
     ]
     again = sum(saw for _, saw in late)
     assert len(late) >= 10 and again <= most * len(late), (again, len(late))
