--- a/benchmarks/capacity/thin_load.py
+++ b/benchmarks/capacity/thin_load.py
@@ -103,7 +103,8 @@
             "longest rest of a dispatcher after an outage",
             "s",
             assumed(
-                1.25 * backoff, "the law of `DeliveryPolicy.apart`, for a destination of 20 calls a second"
+                1.25 * backoff,
+                "the law of `DeliveryPolicy.shared_retry_interval`, for a destination of 20 calls a second",
             ),
             None,
             DELIVERY_POLICY,
