--- a/laureldock/cli/controller.py
+++ b/laureldock/cli/controller.py
@@ -13,7 +13,7 @@
 from laureldock.cli.config import refuse
 from laureldock.controller.service import ControllerService
 from laureldock.logs import Logs
-from laureldock.replication.change_log import SpoiltLogError
+from laureldock.replication.change_log import CorruptedLogError
 from laureldock.setup.catalog import RefusedChangeError
 from laureldock.setup.faults import Fault, Placed, RefusedError
 from laureldock.setup.reading import load
@@ -48,7 +48,7 @@
         found = [Placed(f"{file}: state", 0, fault) for fault in refused_state.faults]
         click.echo("what was accepted does not fit this file any more:", err=True)
         refuse(RefusedError(found))
-    except (SpoiltLogError, CannotListenError, OSError, ValueError) as fault:
+    except (CorruptedLogError, CannotListenError, OSError, ValueError) as fault:
         raise click.ClickException(f"cannot start: {type(fault).__name__}: {fault}") from None
     signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(service.log_counters))
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/laureldock/controller/server.py
+++ b/laureldock/controller/server.py
@@ -239,10 +239,10 @@
         self.stream, self.server = stream, stream.server
 
     def pauseProducing(self) -> None:  # noqa: N802
-        self.server.controller.publisher.paused(self.stream.number)
+        self.server.controller.publisher.stream_paused(self.stream.number)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        self.server.controller.publisher.resumed(self.server.reactor.seconds(), self.stream.number)
+        self.server.controller.publisher.stream_resumed(self.server.reactor.seconds(), self.stream.number)
         self.server.controller.turn_soon()
 
     def stopProducing(self) -> None:  # noqa: N802
@@ -311,7 +311,7 @@
         self.unnamed.pop(stream.number, None)
         self.commands.pop(stream.number, None)
         if self.dispatchers.pop(stream.number, None) is not None:
-            self.controller.publisher.lost(stream.number)
+            self.controller.publisher.stream_lost(stream.number)
             self.controller.turn_soon()
 
     def dropped(self, reason: str) -> None:
@@ -333,7 +333,7 @@
         """A dispatcher's message to the publisher."""
         self.unnamed.pop(stream.number, None)
         self.dispatchers[stream.number] = stream
-        self.controller.publisher.received(self.reactor.seconds(), stream.number, message)
+        self.controller.publisher.message_received(self.reactor.seconds(), stream.number, message)
         self.controller.turn_soon()
 
     def send(self, number: int, payload: bytes) -> None:
--- a/laureldock/controller/service.py
+++ b/laureldock/controller/service.py
@@ -68,7 +68,7 @@
     # The life of the process
 
     def start(self) -> None:
-        """SpoiltLogError, RefusedChangeError, OSError."""
+        """CorruptedLogError, RefusedChangeError, OSError."""
         now, wall = self.reactor.seconds(), self.wall()
         accepted = []
         for record in self.state.load(new_epoch=int.from_bytes(os.urandom(7), "big") | 1):
@@ -79,7 +79,7 @@
         )
         first = state.position.version - len(accepted) + 1
         for version, (size, at) in enumerate(accepted, first):
-            self.publisher.restored(version, size, at)
+            self.publisher.record_restored(version, size, at)
         self.server.listen(self.settings.listen)
         self.log.info(
             "controller ready",
@@ -183,7 +183,7 @@
             bytes=len(record.body),
             entries=len(state.catalog),
         )
-        self.publisher.accepted(self.reactor.seconds(), record)
+        self.publisher.change_accepted(self.reactor.seconds(), record)
         self.turn_soon()
         self._compact_soon()
         return Accepted(record.position, record.digest)
@@ -269,7 +269,7 @@
         if self.stopping:
             return
         try:
-            for effect in self.publisher.turn(self.reactor.seconds()):
+            for effect in self.publisher.poll(self.reactor.seconds()):
                 self._carry_out(effect)
         except Exception:  # a defect ends no other stream: what is due is looked at again
             self.counters["faults"] += 1
@@ -278,8 +278,8 @@
             self._compact_soon()
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        if self.publisher.due < inf:
-            wait = max(MIN_TURN_INTERVAL, self.publisher.due - self.reactor.seconds())
+        if self.publisher.due_at < inf:
+            wait = max(MIN_TURN_INTERVAL, self.publisher.due_at - self.reactor.seconds())
             self._timer = self.reactor.callLater(wait, self.turn_soon)
 
     def _carry_out(self, effect: Effect) -> None:
--- a/laureldock/controller/state.py
+++ b/laureldock/controller/state.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from laureldock.replication.change_log import ChangeLog, Record, SnapshotWriter, SpoiltLogError
+from laureldock.replication.change_log import ChangeLog, CorruptedLogError, Record, SnapshotWriter
 from laureldock.replication.messages import NO_POSITION, Position
 from laureldock.replication.parts import snapshot_parts
 from laureldock.replication.replay import ReplayedEntries
@@ -36,14 +36,14 @@
     def load(self, new_epoch: int) -> Iterator[Record]:
         """From disk; yields each record behind the snapshot. An empty folder begins with `new_epoch`.
 
-        SpoiltLogError; RefusedChangeError where the entries do not fit the file any more; OSError.
+        CorruptedLogError; RefusedChangeError where the entries do not fit the file any more; OSError.
         """
         replayed = ReplayedEntries()
         for found in self.log.load():
             try:
                 replayed.add(found)
             except UnreadableChangeError as fault:
-                raise SpoiltLogError(self.log.folder, 0, f"of a later program? {fault}") from None
+                raise CorruptedLogError(self.log.folder, 0, f"of a later program? {fault}") from None
             if isinstance(found, Record):
                 self.accepted_at = found.accepted_at
                 self._compare(replayed.digest, found.digest, found.position)
@@ -56,7 +56,7 @@
     def _compare(self, digest: int, expected: int, position: Position) -> None:
         if digest != expected:
             reason = f"the entries at version {position.version} are others than were accepted"
-            raise SpoiltLogError(self.log.folder, 0, reason)
+            raise CorruptedLogError(self.log.folder, 0, reason)
 
     def prepare(self, change: Change) -> tuple[bytes, Change] | None:
         """Applied in memory: the encoded change, and the one that undoes it. None: nothing differs.
@@ -103,7 +103,7 @@
                 if self.cancelled:
                     raise SnapshotCancelledError
                 self.writer.write(part)
-            self.writer.seal(sync=True)
+            self.writer.finish(sync=True)
         except (OSError, SnapshotCancelledError):
             self.writer.discard()
             raise
--- a/laureldock/replication/__init__.py
+++ b/laureldock/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration as versioned changes: what a controller and its dispatchers exchange and keep on disk."""
+"""Replication of the configuration as versioned changes from a controller to its dispatchers."""
--- a/laureldock/replication/catalog_sink.py
+++ b/laureldock/replication/catalog_sink.py
@@ -1,4 +1,4 @@
-"""A catalog by itself as what a stream of changes is applied to. No I/O."""
+"""Applies a stream of changes to a catalog. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     @property
     def digest(self) -> int:
-        """Of all entries in force."""
+        """Digest of all entries in force."""
         return self.catalog.digest
 
     def holds(self, key: EntryKey) -> bool:
@@ -27,9 +27,9 @@
         return self.catalog.entries()
 
     def apply_change(self, change: Change) -> None:
-        """RefusedChangeError, then nothing has changed."""
+        """Raises RefusedChangeError; then nothing was changed."""
         self.catalog.apply(change, missing_ok=True)
 
     def replace_entries(self, entries: Iterable[CatalogEntry]) -> None:
-        """RefusedChangeError, then nothing has changed."""
+        """Raises RefusedChangeError; then nothing was changed."""
         self.catalog.replace(entries)
--- a/laureldock/replication/change_log.py
+++ b/laureldock/replication/change_log.py
@@ -1,12 +1,13 @@
 """Changes on disk: a snapshot of all entries, and a log of the changes after it.
 
-Two files in a folder. Each begins with a fixed header under a checksum; frames follow, each with its length,
-a checksum of that and one of what it holds. `snapshot` is written beside the old one and renamed when it is
-whole and synced; then the log is replaced by one of the records behind it in the same way. A process that is
-killed in between leaves a log that begins before the snapshot; what the snapshot holds already is skipped.
-
-The controller syncs each record before it counts (`durable`). A dispatcher does not: what it loses it asks
-for.
+Both are files in one folder. Each begins with a fixed header that includes a checksum, followed by frames:
+the length, a checksum of the length, a checksum of the payload, and the payload. A new `snapshot` is written
+to a temporary file, synced and renamed over the old one; then the log is replaced in the same way by one that
+holds only the later records. A process killed in between leaves a log that begins before the snapshot;
+records that the snapshot already includes are skipped on loading.
+
+The controller syncs each record before the change counts as accepted (`durable`). A dispatcher does not: it
+requests lost changes from the controller again.
 """
 
 from __future__ import annotations
@@ -30,17 +31,17 @@
 LOG_NAME, SNAPSHOT_NAME, LOCK_NAME = "changes.log", "snapshot", "lock"
 NEW_SUFFIX = ".new"
 LOG_MAGIC, SNAPSHOT_MAGIC = b"ldlog\0\0\1", b"ldsnap\0\1"
-LOG_HEADER = Struct(">8sQQQQ")  # magic, epoch, version and digest that the log begins behind, checksum
+LOG_HEADER = Struct(">8sQQQQ")  # magic; epoch, version and digest before the first record; checksum
 SNAPSHOT_HEADER = Struct(">8sQQQQQQ")  # magic, epoch, version, digest, entries, parts, checksum
-FRAME_HEAD = Struct(">IIQ")  # length, checksum of the length, checksum of what follows
+FRAME_HEAD = Struct(">IIQ")  # length, checksum of the length, checksum of the payload
 LENGTH = Struct(">I")
 CHECKSUM = Struct(">Q")
-# Bytes: a log is compacted when it is longer than this, and than the snapshot.
+# Bytes: a log is compacted when it is longer than this and longer than the snapshot.
 MIN_COMPACTED_BYTES = 1 << 20
 
 
-class SpoiltLogError(Exception):
-    """A file that does not hold what was written: which one, where, and why."""
+class CorruptedLogError(Exception):
+    """The content of a file is not what was written: the file, the offset in bytes, and the reason."""
 
     def __init__(self, path: Path, offset: int, reason: str) -> None:
         super().__init__(f"{path}: byte {offset}: {reason}")
@@ -48,15 +49,15 @@
 
 
 class LogInUseError(OSError):
-    """Another process holds the folder."""
+    """Another process has locked the folder."""
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """One accepted change, as the log holds it: it leads from the version before `position` to it."""
+    """One accepted change as stored in the log: it leads from the version before `position` to `position`."""
 
     position: Position
-    digest: int  # of all entries after it
-    accepted_at: float  # seconds of the controller's wall clock since 1970
+    digest: int  # of all entries once the change is applied
+    accepted_at: float  # seconds since 1970, by the controller's clock
     body: bytes  # `setup.changes.encode_change`
 
 
@@ -64,34 +65,34 @@
 _decoder = msgspec.msgpack.Decoder(Record)
 
 
-def frame(payload: bytes) -> bytes:
+def encode_frame(payload: bytes) -> bytes:
     length = LENGTH.pack(len(payload))
     return FRAME_HEAD.pack(len(payload), xxh32_intdigest(length), xxh3_64_intdigest(payload)) + payload
 
 
 def encode_record(record: Record) -> bytes:
-    """The frame of one record, as the log holds it."""
-    return frame(_encoder.encode(record))
+    """The frame of one record in the log."""
+    return encode_frame(_encoder.encode(record))
 
 
-def sealed(header: Struct, *fields: int | bytes) -> bytes:
-    """A file's header, with its checksum."""
+def encode_header(header: Struct, *fields: int | bytes) -> bytes:
+    """Encode a file header and append its checksum."""
     data = header.pack(*fields, 0)[: -CHECKSUM.size]
     return data + CHECKSUM.pack(xxh3_64_intdigest(data))
 
 
-def write_whole(file: FileIO, data: bytes, offset: int) -> None:
-    """OSError; what was written of it then is to be cut off by the caller."""
-    rest = memoryview(data)
-    while rest:
-        done = os.pwrite(file.fileno(), rest, offset)
-        if done == 0:
+def write_fully(file: FileIO, data: bytes, offset: int) -> None:
+    """Write all of `data`. Raises OSError; the caller must then truncate a partial write."""
+    remaining = memoryview(data)
+    while remaining:
+        written = os.pwrite(file.fileno(), remaining, offset)
+        if written == 0:
             raise OSError(errno.ENOSPC, "no room left")
-        rest, offset = rest[done:], offset + done
+        remaining, offset = remaining[written:], offset + written
 
 
-def sync_folder(folder: Path) -> None:
-    """What was renamed in the folder outlives a loss of power. OSError."""
+def sync_directory(folder: Path) -> None:
+    """Make renames in the folder survive a power failure. Raises OSError."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -99,69 +100,69 @@
         os.close(descriptor)
 
 
-class _Frames:
-    """Reads frames of a file, one after the other. SpoiltLogError."""
+class _FrameReader:
+    """Reads the frames of a file in order. Raises CorruptedLogError."""
 
     def __init__(self, path: Path, file: FileIO, offset: int) -> None:
         self.path, self.file, self.offset = path, file, offset
         self.size = os.fstat(file.fileno()).st_size
 
-    def spoilt(self, reason: str) -> SpoiltLogError:
-        return SpoiltLogError(self.path, self.offset, reason)
+    def corrupted(self, reason: str) -> CorruptedLogError:
+        return CorruptedLogError(self.path, self.offset, reason)
 
     def next(self) -> bytes | None:
-        """What the next frame holds. None at the end, or where the last frame is not whole."""
+        """The payload of the next frame. None at the end of the file, or if the last frame is incomplete."""
         if self.offset + FRAME_HEAD.size > self.size:
             return None
         head = os.pread(self.file.fileno(), FRAME_HEAD.size, self.offset)
         if len(head) < FRAME_HEAD.size:
-            raise self.spoilt("the file became shorter")
+            raise self.corrupted("the file was truncated while it was read")
         length, length_checksum, checksum = FRAME_HEAD.unpack(head)
         if xxh32_intdigest(head[: LENGTH.size]) != length_checksum:
-            raise self.spoilt("wrong checksum of a length")
+            raise self.corrupted("wrong checksum of the frame length")
         if self.offset + FRAME_HEAD.size + length > self.size:
             return None
         payload = os.pread(self.file.fileno(), length, self.offset + FRAME_HEAD.size)
         if len(payload) < length or xxh3_64_intdigest(payload) != checksum:
-            raise self.spoilt("wrong checksum")
+            raise self.corrupted("wrong checksum")
         self.offset += FRAME_HEAD.size + length
         return payload
 
 
 def _read_header(path: Path, file: FileIO, header: Struct, magic: bytes) -> tuple[int, ...]:
-    """Fields of a file's header, behind the magic. SpoiltLogError."""
+    """The fields of a file header after the magic. Raises CorruptedLogError."""
     data = os.pread(file.fileno(), header.size, 0)
     if len(data) < header.size or data[: len(magic)] != magic:
-        raise SpoiltLogError(path, 0, "not a file of this format")
+        raise CorruptedLogError(path, 0, "unknown file format")
     *fields, checksum = header.unpack(data)
     if xxh3_64_intdigest(data[: -CHECKSUM.size]) != checksum:
-        raise SpoiltLogError(path, 0, "wrong checksum of the header")
+        raise CorruptedLogError(path, 0, "wrong checksum of the header")
     return tuple(fields[1:])
 
 
 class SnapshotReader:
-    """One reading of a snapshot, part by part. It goes on over a later compaction: the file stays open."""
+    """Reads a snapshot part by part. A later compaction does not disturb it, since the file stays open."""
 
     def __init__(self, path: Path, file: FileIO) -> None:
         epoch, version, digest, entries, parts = _read_header(path, file, SNAPSHOT_HEADER, SNAPSHOT_MAGIC)
         self.position, self.digest = Position(epoch, version), digest
         self.entries, self.parts = entries, parts
         self.parts_read = 0
-        self._frames = _Frames(path, file, SNAPSHOT_HEADER.size)
+        self._frame_reader = _FrameReader(path, file, SNAPSHOT_HEADER.size)
 
     def next_part(self) -> bytes | None:
-        """The encoded entries of the next part; None behind the last. SpoiltLogError."""
+        """The encoded entries of the next part; None after the last. Raises CorruptedLogError."""
         if self.parts_read == self.parts:
             return None
-        part = self._frames.next()
+        part = self._frame_reader.next()
         if part is None:
-            raise self._frames.spoilt("the snapshot is not whole")
+            raise self._frame_reader.corrupted("the snapshot is incomplete")
         self.parts_read += 1
         return part
 
 
 class SnapshotWriter:
-    """A snapshot that is being written beside the present one, part by part. OSError from each call."""
+    """Writes a new snapshot part by part to a temporary file. Each method may raise OSError."""
 
     def __init__(self, path: Path, position: Position, digest: int, entries: int) -> None:
         self.position, self.digest, self.entries = position, digest, entries
@@ -171,15 +172,15 @@
         self.size = SNAPSHOT_HEADER.size
 
     def write(self, part: bytes) -> None:
-        data = frame(part)
-        write_whole(self.file, data, self.size)
+        data = encode_frame(part)
+        write_fully(self.file, data, self.size)
         self.size += len(data)
         self.parts += 1
 
-    def seal(self, sync: bool) -> None:
-        """Behind the last part; may run in a thread, since it touches this file alone."""
+    def finish(self, sync: bool) -> None:
+        """Write the header after the last part. May run in a thread, since it only uses this file."""
         fields = (self.position.epoch, self.position.version, self.digest, self.entries, self.parts)
-        write_whole(self.file, sealed(SNAPSHOT_HEADER, SNAPSHOT_MAGIC, *fields), 0)
+        write_fully(self.file, encode_header(SNAPSHOT_HEADER, SNAPSHOT_MAGIC, *fields), 0)
         if sync:
             os.fsync(self.file.fileno())
 
@@ -189,7 +190,7 @@
 
 
 class _Segment:
-    """A log file, open, and where in it each version stands."""
+    """An open log file and the offset of each version in it."""
 
     def __init__(self, path: Path, file: FileIO) -> None:
         self.path, self.file = path, file
@@ -201,15 +202,15 @@
         self.digests = array("Q")
 
     def scan(self) -> Iterator[Record]:
-        """Each whole record; afterwards `size` is where the last one ends. SpoiltLogError."""
-        frames = _Frames(self.path, self.file, self.size)
-        while (payload := frames.next()) is not None:
+        """Yield each complete record; then `size` is the end of the last one. Raises CorruptedLogError."""
+        reader = _FrameReader(self.path, self.file, self.size)
+        while (payload := reader.next()) is not None:
             try:
                 record = _decoder.decode(payload)
-            except msgspec.DecodeError as fault:
-                raise SpoiltLogError(self.path, self.size, f"not a record: {fault}") from None
+            except msgspec.DecodeError as error:
+                raise CorruptedLogError(self.path, self.size, f"invalid record: {error}") from None
             yield record
-            self.add(record.position.version, record.digest, frames.offset - self.size)
+            self.add(record.position.version, record.digest, reader.offset - self.size)
 
     @property
     def last_version(self) -> int:
@@ -224,57 +225,57 @@
     def digest_at(self, version: int) -> int | None:
         if version == self.base.version:
             return self.base_digest
-        place = bisect_right(self.versions, version) - 1
-        return self.digests[place] if place >= 0 and self.versions[place] == version else None
+        index = bisect_right(self.versions, version) - 1
+        return self.digests[index] if index >= 0 and self.versions[index] == version else None
 
     def offset_after(self, version: int) -> int:
-        """Where the first record behind that version begins."""
-        place = bisect_right(self.versions, version)
-        return self.offsets[place] if place < len(self.offsets) else self.size
+        """The offset of the first record after that version."""
+        index = bisect_right(self.versions, version)
+        return self.offsets[index] if index < len(self.offsets) else self.size
 
     def records_after(self, version: int, max_records: int) -> list[Record]:
-        """SpoiltLogError, OSError."""
-        place = bisect_right(self.versions, version)
-        if place == len(self.versions):
+        """Records after that version, at most `max_records`. Raises CorruptedLogError, OSError."""
+        index = bisect_right(self.versions, version)
+        if index == len(self.versions):
             return []
-        frames = _Frames(self.path, self.file, self.offsets[place])
+        reader = _FrameReader(self.path, self.file, self.offsets[index])
         found: list[Record] = []
-        for _ in range(min(max_records, len(self.versions) - place)):
-            payload = frames.next()
+        for _ in range(min(max_records, len(self.versions) - index)):
+            payload = reader.next()
             if payload is None:
-                raise frames.spoilt("a record is missing")
+                raise reader.corrupted("a record is missing")
             found.append(_decoder.decode(payload))
         return found
 
 
 class ChangeLog:
-    """The snapshot and log of one folder. `load` is called once, and read to its end, before all else.
+    """The snapshot and log of one folder. `load` must be called and consumed before any other method.
 
-    `durable`: each record is synced before it counts, what is spoilt is refused, and one process alone
-    holds the folder. `writes`: without it nothing on disk is touched, not even a torn end.
+    `durable`: each record is synced before `append` returns, corrupted files are refused, and the folder is
+    locked against other processes. Without `writes` nothing on disk is modified, not even a torn last record.
     """
 
     def __init__(self, folder: Path, durable: bool, writes: bool = True) -> None:
-        """OSError; LogInUseError where `durable` and another process holds the folder."""
+        """Raises OSError; LogInUseError if `durable` and another process has locked the folder."""
         self.folder, self.durable, self.writes = folder, durable, writes
         self.position, self.digest = NO_POSITION, 0
-        self.torn_bytes = 0  # dropped behind the last whole record of the log
-        self.spoilt_bytes = 0  # dropped where not durable: a spoilt record and all behind it
+        self.torn_bytes = 0  # dropped after the last complete record of the log
+        self.corrupted_bytes = 0  # dropped if not durable: a corrupted record and everything after it
         self._snapshot: FileIO | None = None
         self._segment: _Segment | None = None
-        self._previous: _Segment | None = None  # before the last compaction: for those who still follow it
+        self._previous: _Segment | None = None  # the log before the last compaction, for slow subscribers
         self._lock: FileIO | None = None
         if writes:
             folder.mkdir(parents=True, exist_ok=True)
             if durable:
-                self._lock = self._locked()
+                self._lock = self._acquire_lock()
             for name in (LOG_NAME, SNAPSHOT_NAME):
                 self._path(name + NEW_SUFFIX).unlink(missing_ok=True)
 
     def _path(self, name: str) -> Path:
         return self.folder / name
 
-    def _locked(self) -> FileIO:
+    def _acquire_lock(self) -> FileIO:
         descriptor = open_locked(self._path(LOCK_NAME), required=True)
         if descriptor is None:
             raise LogInUseError(errno.EAGAIN, "another process holds the folder", str(self.folder))
@@ -283,13 +284,14 @@
     # Loading
 
     def load(self) -> Iterator[bytes | Record]:
-        """Encoded entries of the snapshot part by part, then the records behind it.
+        """Yield the encoded entries of the snapshot part by part, then the records after it.
 
-        SpoiltLogError: always for the snapshot; for the log where `durable`, else what is spoilt is dropped.
+        Raises CorruptedLogError if the snapshot is corrupted, or the log of a `durable` folder; otherwise the
+        corrupted part of a log is dropped.
         """
-        self._snapshot = self._opened(SNAPSHOT_NAME)
+        self._snapshot = self._open_file(SNAPSHOT_NAME)
         if self._snapshot is not None:
-            reader = self._reader(self._snapshot)
+            reader = self._open_snapshot(self._snapshot)
             while (part := reader.next_part()) is not None:
                 yield part
             self.position, self.digest = reader.position, reader.digest
@@ -297,42 +299,42 @@
             self._segment = self._open_log()
             if self._segment is not None:
                 yield from self._replay(self._segment)
-        except SpoiltLogError as fault:
+        except CorruptedLogError as error:
             if self.durable:
                 raise
-            self.spoilt_bytes = max(0, self._size_of(LOG_NAME) - fault.offset)
+            self.corrupted_bytes = max(0, self._file_size(LOG_NAME) - error.offset)
         if self.writes:
-            self._prepare()
+            self._prepare_for_append()
 
-    def _opened(self, name: str) -> FileIO | None:
+    def _open_file(self, name: str) -> FileIO | None:
         try:
             return FileIO(self._path(name), "r+" if self.writes else "r")
         except FileNotFoundError:
             return None
 
-    def _size_of(self, name: str) -> int:
+    def _file_size(self, name: str) -> int:
         with contextlib.suppress(OSError):
             return self._path(name).stat().st_size
         return 0
 
-    def _reader(self, file: FileIO) -> SnapshotReader:
+    def _open_snapshot(self, file: FileIO) -> SnapshotReader:
         return SnapshotReader(self._path(SNAPSHOT_NAME), file)
 
     def _open_log(self) -> _Segment | None:
-        """The log that follows the snapshot, if any."""
-        path, file = self._path(LOG_NAME), self._opened(LOG_NAME)
+        """The log, if there is one; it must follow on the snapshot."""
+        path, file = self._path(LOG_NAME), self._open_file(LOG_NAME)
         if file is None:
             if self._snapshot is not None and self.durable:
-                raise SpoiltLogError(path, 0, "is missing, where a snapshot stands")
+                raise CorruptedLogError(path, 0, "the log is missing although there is a snapshot")
             return None
         segment = _Segment(path, file)
         if segment.base.epoch not in (0, self.position.epoch) or segment.base.version > self.position.version:
-            reason = f"it follows {segment.base}, and the snapshot is of {self.position}"
-            raise SpoiltLogError(path, 0, reason)
+            reason = f"the log follows {segment.base}, but the snapshot is of {self.position}"
+            raise CorruptedLogError(path, 0, reason)
         return segment
 
     def _replay(self, segment: _Segment) -> Iterator[Record]:
-        """The records that the snapshot does not hold. SpoiltLogError."""
+        """Yield the records that the snapshot does not include. Raises CorruptedLogError."""
         snapshot, last = self.position, segment.base
         for record in segment.scan():
             position = record.position
@@ -341,15 +343,15 @@
             if self.durable:
                 in_order = position.version == last.version + 1
             if position.epoch != epoch or not in_order:
-                raise SpoiltLogError(segment.path, segment.size, f"{position} behind {last}")
+                raise CorruptedLogError(segment.path, segment.size, f"{position} behind {last}")
             last = position
             if position.version > snapshot.version:
                 self.position, self.digest = position, record.digest
                 yield record
-        self.torn_bytes = self._size_of(LOG_NAME) - segment.size
+        self.torn_bytes = self._file_size(LOG_NAME) - segment.size
 
-    def _prepare(self) -> None:
-        """The log may be appended to: what is torn or spoilt is cut off, and it reaches the snapshot."""
+    def _prepare_for_append(self) -> None:
+        """Truncate torn or corrupted data, or start a new log if none reaches the snapshot's version."""
         if self._segment is None or self._segment.last_version < self.position.version:
             self._segment = self._new_segment(self.position, self.digest, b"")
         else:
@@ -358,25 +360,25 @@
     # Appending
 
     def append(self, record: Record) -> None:
-        """The record is on disk before this returns. OSError: it does not count, and is not in the log."""
-        segment = self._writable()
+        """Write the record to disk. Raises OSError: the record is then not part of the log."""
+        segment = self._writable_segment()
         follows = record.position.epoch == self.position.epoch or self.position == NO_POSITION
         if not follows or record.position.version <= self.position.version:
             raise ValueError(f"{record.position} does not follow {self.position}")
         data = encode_record(record)
         try:
-            write_whole(segment.file, data, segment.size)
+            write_fully(segment.file, data, segment.size)
             if self.durable:
                 os.fdatasync(segment.file.fileno())
         except OSError:
-            # What stays where this fails too is overwritten by the next record, or dropped as torn.
+            # If this fails too, the partial record is overwritten by the next, or dropped as torn on load.
             with contextlib.suppress(OSError):
                 os.ftruncate(segment.file.fileno(), segment.size)
             raise
         segment.add(record.position.version, record.digest, len(data))
         self.position, self.digest = record.position, record.digest
 
-    def _writable(self) -> _Segment:
+    def _writable_segment(self) -> _Segment:
         if self._segment is None or not self.writes:
             raise RuntimeError("the log is not open for writing")
         return self._segment
@@ -391,19 +393,19 @@
 
     @property
     def snapshot_version(self) -> int:
-        return self._reader(self._snapshot).position.version if self._snapshot else 0
+        return self._open_snapshot(self._snapshot).position.version if self._snapshot else 0
 
     # Compacting
 
     @property
     def compaction_due(self) -> bool:
-        """Whether the log has become so long that a snapshot is to take its place."""
+        """Whether the log is long enough to be replaced by a snapshot."""
         return self.log_bytes > max(MIN_COMPACTED_BYTES, self.snapshot_bytes)
 
     def compact(self, position: Position, digest: int, parts: Iterable[bytes], entries: int = 0) -> None:
-        """Replace all by a snapshot and an empty log. OSError: the old ones hold.
+        """Replace the files by a snapshot and an empty log. Raises OSError: the old files remain valid.
 
-        A durable log gives up no record that the snapshot may not hold: ValueError.
+        Raises ValueError if a durable log would lose a record that the snapshot may not include.
         """
         if self.durable and self.position not in (NO_POSITION, position):
             raise ValueError(f"a snapshot of {position} would drop records up to {self.position}")
@@ -411,8 +413,8 @@
         try:
             for part in parts:
                 writer.write(part)
-            writer.seal(self.durable)
-            if not self.durable:  # lest its records be taken to follow this snapshot
+            writer.finish(self.durable)
+            if not self.durable:  # otherwise its records might be applied to this snapshot
                 self._path(LOG_NAME).unlink(missing_ok=True)
         except OSError:
             writer.discard()
@@ -423,15 +425,15 @@
         self._previous = None
 
     def begin_compaction(self, position: Position, digest: int, entries: int = 0) -> SnapshotWriter:
-        """For a snapshot that is written in slices while records are appended; see `finish_compaction`."""
-        self._writable()
+        """Begin a snapshot that is written in parts while records are appended; see `finish_compaction`."""
+        self._writable_segment()
         return SnapshotWriter(self._path(SNAPSHOT_NAME), position, digest, entries)
 
     def finish_compaction(self, writer: SnapshotWriter) -> None:
-        """Behind `writer.seal`: the snapshot is the present one, and the log begins behind it. OSError."""
-        segment = self._writable()
+        """After `writer.finish`: install the snapshot, and start a new log after it. Raises OSError."""
+        segment = self._writable_segment()
         if writer.position.epoch != self.position.epoch or writer.position > self.position:
-            raise ValueError(f"a snapshot of {writer.position}, where {self.position} is the newest")
+            raise ValueError(f"a snapshot of {writer.position}, but the log ends at {self.position}")
         self._install(writer)
         start = segment.offset_after(writer.position.version)
         tail = os.pread(segment.file.fileno(), segment.size - start, start)
@@ -446,20 +448,22 @@
             raise
         self._snapshot = writer.file
         if self.durable:
-            sync_folder(self.folder)
+            sync_directory(self.folder)
 
     def _new_segment(self, base: Position, digest: int, tail: bytes) -> _Segment:
-        """A log that begins behind `base`, in place of the present one."""
+        """Replace the log by one that follows on `base` and contains the frames `tail`. Raises OSError."""
         path = self._path(LOG_NAME)
         new_path = path.with_name(path.name + NEW_SUFFIX)
         file = FileIO(os.open(new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, FILE_MODE), "r+")
         try:
-            write_whole(file, sealed(LOG_HEADER, LOG_MAGIC, base.epoch, base.version, digest) + tail, 0)
+            write_fully(
+                file, encode_header(LOG_HEADER, LOG_MAGIC, base.epoch, base.version, digest) + tail, 0
+            )
             if self.durable:
                 os.fsync(file.fileno())
             os.rename(new_path, path)
             if self.durable:
-                sync_folder(self.folder)
+                sync_directory(self.folder)
         except OSError:
             file.close()
             new_path.unlink(missing_ok=True)
@@ -469,16 +473,16 @@
             pass
         return segment
 
-    # Reading what is there
+    # Reading
 
     @property
     def oldest_version(self) -> int:
-        """Records of all later versions are at hand."""
-        kept = self._previous or self._segment
-        return kept.base.version if kept else self.position.version
+        """The records of all later versions are available."""
+        oldest = self._previous or self._segment
+        return oldest.base.version if oldest else self.position.version
 
     def records_after(self, version: int, max_records: int = 1 << 62) -> list[Record] | None:
-        """In order, the first `max_records` at most. None: compacted away. OSError, SpoiltLogError."""
+        """At most `max_records` in order; None if they were compacted. Raises OSError, CorruptedLogError."""
         if self._segment is None or version < self.oldest_version or version > self.position.version:
             return [] if self._segment is None and version == self.position.version else None
         if self._previous is not None and version < self._segment.base.version:
@@ -488,18 +492,18 @@
         return self._segment.records_after(version, max_records)
 
     def digest_at(self, version: int) -> int | None:
-        """Of all entries at that version; None where it is compacted away or not there."""
+        """Digest of all entries at that version; None if it is not in the log."""
         for segment in (self._segment, self._previous):
             if segment is not None and (digest := segment.digest_at(version)) is not None:
                 return digest
         return None
 
     def snapshot_file(self) -> SnapshotReader | None:
-        """The present snapshot, to be read part by part; None where there is none yet."""
-        return self._reader(self._snapshot) if self._snapshot is not None else None
+        """A reader of the current snapshot; None if there is none yet."""
+        return self._open_snapshot(self._snapshot) if self._snapshot is not None else None
 
     def clear(self) -> None:
-        """Begin anew with nothing: for a dispatcher whose folder is spoilt. OSError."""
+        """Start over without any entries, for a dispatcher whose folder is corrupted. Raises OSError."""
         if not self.writes:
             raise RuntimeError("the log is not open for writing")
         self._snapshot = self._segment = self._previous = None
@@ -508,7 +512,7 @@
         self._segment = self._new_segment(NO_POSITION, 0, b"")
 
     def close(self) -> None:
-        """Releases the folder; open snapshots may still be read."""
+        """Release the lock; open snapshot readers stay valid."""
         if self._lock is not None:
             self._lock.close()
         self._lock = self._segment = self._previous = self._snapshot = None
--- a/laureldock/replication/incoming_snapshot.py
+++ b/laureldock/replication/incoming_snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot that comes in parts: put together and checked before anything of it is applied. No I/O."""
+"""Assembles and verifies a snapshot that arrives in parts, before any of it is applied. No I/O."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
 
 
 class PartOutcome(Enum):
-    TAKEN = auto()
-    REPEATED = auto()  # a part that was there already
-    MISSING = auto()  # one before it did not come
-    SPOILT = auto()  # not what its checksum says
+    ACCEPTED = auto()
+    REPEATED = auto()  # a part that was received before
+    MISSING = auto()  # an earlier part was not received
+    CORRUPTED = auto()  # wrong checksum, or the snapshot is too large
 
 
 class IncomingSnapshot:
+    """The parts and entries received so far, and the digest of the entries."""
+
     def __init__(self, begin: SnapshotBegin) -> None:
         self.begin = begin
         self.parts: list[bytes] = []
@@ -31,21 +33,21 @@
 
     @property
     def matches(self) -> bool:
-        """Whether the entries are those that were announced."""
+        """Whether the number of entries and their digest are the announced ones."""
         return len(self.entries) == self.begin.entries and self._digest == self.begin.digest
 
     def add(self, part: SnapshotPart) -> PartOutcome:
-        """UnreadableChangeError for entries of a later format."""
+        """Add a part. Raises UnreadableChangeError if its entries are of a later format."""
         if part.number < len(self.parts):
             return PartOutcome.REPEATED
         if part.number > len(self.parts):
             return PartOutcome.MISSING
         self.bytes += len(part.body)
         if checksum(part.body) != part.checksum or self.bytes > MAX_SNAPSHOT_BYTES:
-            return PartOutcome.SPOILT
+            return PartOutcome.CORRUPTED
         entries = decode_entries(part.body)
         self.parts.append(part.body)
         self.entries.extend(entries)
         for entry in entries:
             self._digest ^= entry_digest(entry)
-        return PartOutcome.TAKEN
+        return PartOutcome.ACCEPTED
--- a/laureldock/replication/parts.py
+++ b/laureldock/replication/parts.py
@@ -1,4 +1,4 @@
-"""Entries, or whatever else has a size, in groups that are bounded, for messages and files. No I/O."""
+"""Splits entries, or other items with a size, into groups of bounded size for messages and files. No I/O."""
 
 from __future__ import annotations
 
@@ -7,18 +7,20 @@
 
 from laureldock.setup.changes import CatalogEntry, encode_entries
 
-SNAPSHOT_PART_BYTES = 16 << 10  # of encoded entries, one large entry aside; what the pace lets through in 4 s
+SNAPSHOT_PART_BYTES = (
+    16 << 10
+)  # of encoded entries, unless one entry is larger; the default pace sends it in 4 s
 
 Item = TypeVar("Item")
 
 
 def encoded_size(entry: CatalogEntry) -> int:
-    """Bytes, with those of a group that holds nothing else."""
+    """Bytes of the entry in a group of its own, including the group's overhead."""
     return len(encode_entries([entry]))
 
 
 def grouped(items: Iterable[Item], size_of: Callable[[Item], int], max_bytes: int) -> Iterator[list[Item]]:
-    """In the order given; one item that is larger by itself is a group of its own."""
+    """Split in the given order; an item larger than `max_bytes` forms a group of its own."""
     group: list[Item] = []
     size = 0
     for item in items:
@@ -33,5 +35,5 @@
 
 
 def snapshot_parts(entries: Iterable[CatalogEntry]) -> Iterator[bytes]:
-    """Entries encoded in parts of some 16 KiB."""
+    """Encode entries in parts of about 16 KiB."""
     return map(encode_entries, grouped(entries, encoded_size, SNAPSHOT_PART_BYTES))
--- a/laureldock/replication/pending.py
+++ b/laureldock/replication/pending.py
@@ -1,4 +1,4 @@
-"""Changes that a dispatcher received and could not apply: merged, until their sum passes. No I/O."""
+"""Changes that a dispatcher received but could not apply, merged until they can be applied. No I/O."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class PendingChanges:
-    """Puts and removals by key; of two that name one key the later one holds.
+    """Puts and removals by key; a later one replaces an earlier one of the same key.
 
-    `unreadable` is set where one of them could not be read: their sum is not known then, and only a snapshot
-    helps.
+    `unreadable` is set if one of them could not be decoded: the merged change is then unknown, and only a
+    snapshot helps.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         return self.count > MAX_PENDING_CHANGES or self.bytes > MAX_PENDING_BYTES
 
     def add(self, change: Change, size: int) -> None:
-        """`size`: bytes of the encoded change."""
+        """Merge a change; `size` is the length of its encoding in bytes."""
         self.count += 1
         self.bytes += size
         for entry in change.puts:
@@ -43,7 +43,10 @@
         self._by_key.clear()
 
     def merged(self, holds: Callable[[EntryKey], bool]) -> Change:
-        """The sum. `holds` tells which entries are in force: one that came and went within it is left out."""
+        """The merged change. `holds` returns whether an entry is in force.
+
+        The removal of an entry that was added and removed while pending is omitted.
+        """
         puts = tuple(entry for entry in self._by_key.values() if entry is not None)
         removals = tuple(key for key, entry in self._by_key.items() if entry is None and holds(key))
         return Change(puts, removals)
--- a/laureldock/replication/replay.py
+++ b/laureldock/replication/replay.py
@@ -1,4 +1,4 @@
-"""What a change log holds, put together again to the entries at its newest version. No I/O."""
+"""Reconstructs the entries at the newest version from the content of a change log. No I/O."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class ReplayedEntries:
-    """Entries by key, unchecked by any rule, and the digest of all."""
+    """Entries by key, not validated, and the digest of all entries."""
 
     def __init__(self) -> None:
         self.by_key: dict[EntryKey, CatalogEntry] = {}
         self.digest = 0
 
-    def add(self, found: bytes | Record) -> None:
-        """A part of a snapshot, or a record behind it. UnreadableChangeError: nothing was added."""
-        self._merge(decode_change(found.body) if isinstance(found, Record) else Change(decode_entries(found)))
+    def add(self, item: bytes | Record) -> None:
+        """Add a part of a snapshot, or a record after it. Raises UnreadableChangeError: nothing was added."""
+        self._merge(decode_change(item.body) if isinstance(item, Record) else Change(decode_entries(item)))
 
     def _merge(self, change: Change) -> None:
         for key in (*change.removals, *(entry.key for entry in change.puts)):
--- a/laureldock/replication/subscriber.py
+++ b/laureldock/replication/subscriber.py
@@ -1,8 +1,9 @@
-"""A dispatcher's side of the stream of changes: what it asks for, applies, refuses and tells. No I/O.
+"""The dispatcher's side of the change stream: what it requests, applies, refuses and reports. No I/O.
 
-Events come in by method calls, each with the time (monotonic seconds); `turn` gives the effects. The caller
-carries out all effects of one event before it tells the next: an `ApplyChange` or `ReplaceEntries` is
-answered by `applied` or `refused` at once. Equal events give equal effects; jitter comes from the seed.
+Events are method calls, each with the time (monotonic seconds); `poll` returns the resulting effects. The
+caller carries out all effects of an event before it passes in the next one, and reports the result of an
+`ApplyChange` or `ReplaceEntries` with `applied` or `refused` at once. The same events always give the same
+effects; jitter is derived from the seed.
 """
 
 from __future__ import annotations
@@ -46,33 +47,33 @@
 
 # Seconds.
 CONNECT_TIMEOUT = 3.0
-SHORTEST_BACKOFF, LONGEST_BACKOFF = 0.25, 4.0
-# A question to the controller is repeated after so long without an answer, twice as long each time.
-SHORTEST_PATIENCE, LONGEST_PATIENCE = 3.5, 56.0
-# A part of a snapshot may wait for the controller's pace.
-SNAPSHOT_PATIENCE = 64.0
-# From what could not be read until a snapshot is asked for (with the next change), twice as long each time.
-SHORTEST_SNAPSHOT_RETRY, LONGEST_SNAPSHOT_RETRY = 60.0, 3840.0
+MIN_BACKOFF, MAX_BACKOFF = 0.25, 4.0
+# Time without a response after which a subscription is sent again; it doubles with each repetition.
+MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT = 3.5, 56.0
+# Longer than the other timeouts: the controller's rate limit may delay a part of a snapshot.
+SNAPSHOT_TIMEOUT = 64.0
+# Delay from an unreadable change to the request of a snapshot (with the next change); it doubles each time.
+MIN_SNAPSHOT_RETRY, MAX_SNAPSHOT_RETRY = 60.0, 3840.0
 MAX_REPORTED_FAULTS = 20
 
 
 class ConfigurationSink(Protocol):
-    """What applies changes: a dispatcher, or a catalog by itself."""
+    """Applies changes: a dispatcher, or a catalog on its own."""
 
     @property
     def digest(self) -> int:
-        """Of all entries in force."""
+        """Digest of all entries in force."""
 
     def holds(self, key: EntryKey) -> bool: ...
 
     def entries(self) -> Iterable[CatalogEntry]:
-        """All in force; asked for only where they are kept on disk."""
+        """All entries in force; called only where the configuration is stored on disk."""
 
     def apply_change(self, change: Change) -> None:
-        """As a whole or not at all: RefusedChangeError (`setup.catalog`)."""
+        """Apply the change atomically. Raises RefusedChangeError (`setup.catalog`)."""
 
     def replace_entries(self, entries: Iterable[CatalogEntry]) -> None:
-        """All entries anew, or nothing: RefusedChangeError."""
+        """Replace all entries atomically. Raises RefusedChangeError."""
 
 
 # Effects
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Also calls off a connect that is under way."""
+    """Close the connection, or cancel a connection attempt in progress."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,18 +96,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyChange:
-    """Apply `change`, keep `body` on disk as the record of `position`, then tell `applied`; or `refused`."""
+    """Apply `change`, store `body` on disk as the record of `position`, then call `applied` or `refused`."""
 
     position: Position
-    digest: int  # of all entries after it
-    accepted_at: float
+    digest: int  # of all entries once the change is applied
+    accepted_at: float  # seconds since 1970, by the controller's clock
     change: Change
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ReplaceEntries:
-    """As `ApplyChange`, of a whole snapshot; `parts` are its entries as encoded."""
+    """Like `ApplyChange`, for a complete snapshot; `parts` are its entries in encoded form."""
 
     position: Position
     digest: int
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriberEvent:
-    """For the log and the counters. `serious`: a person may have to look."""
+    """An event for the log and the counters. `serious`: an operator may have to act."""
 
     event: str
     fields: dict[str, object] = field(default_factory=dict)
@@ -126,17 +127,17 @@
 Effect = Connect | Disconnect | Send | ApplyChange | ReplaceEntries | SubscriberEvent
 
 
-class LinkState(Enum):
-    IDLE = auto()
+class ConnectionState(Enum):
+    DISCONNECTED = auto()
     CONNECTING = auto()
-    OPEN = auto()
+    CONNECTED = auto()
 
 
 class Subscriber:
-    """Follows one of `controllers` (host:port, tried in turn) under `name`.
+    """Subscribes as `name` to one of `controllers` (host:port, tried round-robin).
 
-    `holds` tells whether an entry is in force. `position` and `digest` are of what is in force; `refusal` is
-    the newest change or snapshot that was not taken, as long as it is not made up for.
+    `holds` returns whether an entry is in force. `position` and `digest` describe the configuration in force.
+    `refusal` is the newest change or snapshot that was refused, until a later one is applied.
     """
 
     def __init__(
@@ -147,231 +148,240 @@
         self.refusal: Refusal | None = None
         self.pending = PendingChanges()
         self.current_at: float | None = None  # when the controller last had nothing newer
-        self._newest, self._newest_at = NO_POSITION, -inf  # what it last named, and when
+        # Position of the controller's last heartbeat, and when that arrived.
+        self._announced_position, self._announced_at = NO_POSITION, -inf
         self._received = NO_POSITION  # the newest change received in order, applied or pending
         self._snapshot: IncomingSnapshot | None = None
-        self._snapshot_wanted = False
-        self._distrusted = False  # what is in force is not what its position says
-        self._snapshot_retry = SHORTEST_SNAPSHOT_RETRY
+        self._snapshot_needed = False
+        self._inconsistent = False  # the entries in force may differ from those of `position`
+        self._snapshot_retry = MIN_SNAPSHOT_RETRY
         self._retry_snapshot_at = inf
         self._outstanding: ApplyChange | ReplaceEntries | None = None
         self._on_disk = True
-        self._link = LinkState.IDLE
+        self._connection_state = ConnectionState.DISCONNECTED
         self._connect_at = inf
-        self._deadline = inf  # of a connect under way
-        self._failures = 0  # connects since a controller was last heard
-        self._turns_taken = 0  # connects, by which controllers take turns
-        self._draws = 0
-        self._heard_at = self._sent_at = -inf
-        self._asked = False  # and nothing has come since that leads on
-        self._progress_at = -inf
-        self._behind_since = inf  # when a heartbeat first named what did not come
-        self._patience = SHORTEST_PATIENCE
+        self._deadline = inf  # of the connection attempt in progress
+        self._failed_connect_count = 0  # connection attempts since the last message from a controller
+        self._connect_count = 0  # connection attempts in total; selects the next controller
+        self._random_draws = 0
+        self._last_received_at = self._last_sent_at = -inf
+        self._awaiting_response = False  # a subscription was sent, and no usable message has arrived since
+        self._last_progress_at = -inf
+        self._behind_since = inf  # when a heartbeat first announced a change that has not arrived
+        self._response_timeout = MIN_RESPONSE_TIMEOUT
         self._effects: list[Effect] = []
 
-    # What is known
+    # State
 
     @property
-    def settled(self) -> bool:
+    def has_configuration(self) -> bool:
         """Whether any configuration is in force."""
         return self.position != NO_POSITION
 
     @property
     def connected(self) -> bool:
-        return self._link is LinkState.OPEN
+        return self._connection_state is ConnectionState.CONNECTED
 
     def age(self, now: float) -> float | None:
-        """Seconds since the configuration in force was known to be the newest one; None: it never was."""
+        """Seconds since the configuration in force was last known to be the newest; None if it never was."""
         return None if self.current_at is None else max(0.0, now - self.current_at)
 
     @property
-    def due(self) -> float:
-        """When `turn` is to be called at the latest."""
-        match self._link:
-            case LinkState.IDLE:
+    def due_at(self) -> float:
+        """The latest time at which `poll` must be called."""
+        match self._connection_state:
+            case ConnectionState.DISCONNECTED:
                 return self._connect_at
-            case LinkState.CONNECTING:
+            case ConnectionState.CONNECTING:
                 return self._deadline
-            case LinkState.OPEN:
-                return min(self._heard_at + SILENCE_LIMIT, self._sent_at + HEARTBEAT_INTERVAL)
+            case ConnectionState.CONNECTED:
+                return min(self._last_received_at + SILENCE_LIMIT, self._last_sent_at + HEARTBEAT_INTERVAL)
 
-    # The life of the stream
+    # Connection
 
     def restore(self, now: float, position: Position, digest: int, age: float | None = None) -> None:
-        """What was kept on disk is in force. `age`: seconds since that was last known to be the newest."""
+        """Set the state loaded from disk. `age`: seconds since it was last known to be the newest."""
         self.position, self.digest, self._received = position, digest, position
         self.current_at = None if age is None else now - age
 
     def start(self, now: float) -> None:
-        """Follow a controller from here on."""
-        self._connect_at = now + SHORTEST_BACKOFF * self._chance()
+        """Schedule the first connection attempt, with jitter."""
+        self._connect_at = now + MIN_BACKOFF * self._random_fraction()
 
-    def distrust(self) -> None:
-        """What is in force is not what its position says: a snapshot is asked for."""
-        self._snapshot_wanted = self._distrusted = True
+    def mark_inconsistent(self) -> None:
+        """Note that the entries in force may not match the position: a snapshot replaces them."""
+        self._snapshot_needed = self._inconsistent = True
 
-    def try_again(self, now: float) -> None:
-        """The rules may have changed here: what was refused is asked for once more."""
-        if self.refusal and self._link is LinkState.OPEN:
-            self._ask(now)
+    def retry_refused(self, now: float) -> None:
+        """Request a refused change again, since the local rules may have changed."""
+        if self.refusal and self._connection_state is ConnectionState.CONNECTED:
+            self._subscribe(now)
 
     def stop(self) -> None:
-        self._link, self._connect_at = LinkState.IDLE, inf
+        self._connection_state, self._connect_at = ConnectionState.DISCONNECTED, inf
         self._effects.append(Disconnect())
 
-    def connected_to(self, now: float) -> None:
-        """The connect that was asked for is up."""
-        self._link = LinkState.OPEN
-        self._heard_at = now
+    def connection_opened(self, now: float) -> None:
+        """The requested connection is established."""
+        self._connection_state = ConnectionState.CONNECTED
+        self._last_received_at = now
         self._report("controller reached", {"version": self.position.version})
-        self._ask(now)
+        self._subscribe(now)
 
-    def lost(self, now: float, reason: str) -> None:
-        """The stream, or the connect, ended."""
-        if self._link is LinkState.IDLE:
+    def connection_lost(self, now: float, reason: str) -> None:
+        """The connection was closed, or the connection attempt failed."""
+        if self._connection_state is ConnectionState.DISCONNECTED:
             return
-        was_open = self._link is LinkState.OPEN
-        self._link = LinkState.IDLE
+        was_connected = self._connection_state is ConnectionState.CONNECTED
+        self._connection_state = ConnectionState.DISCONNECTED
         self._snapshot = None
-        wait = min(LONGEST_BACKOFF, SHORTEST_BACKOFF * 2 ** min(self._failures, 10))
-        self._failures += 1
-        self._connect_at = now + wait * (0.5 + 0.5 * self._chance())
-        if was_open:
+        wait = min(MAX_BACKOFF, MIN_BACKOFF * 2 ** min(self._failed_connect_count, 10))
+        self._failed_connect_count += 1
+        self._connect_at = now + wait * (0.5 + 0.5 * self._random_fraction())
+        if was_connected:
             self._report("controller lost", {"reason": reason})
 
-    def malformed(self, now: float, reason: str) -> None:
-        """A frame that is no message: the stream cannot be followed."""
+    def protocol_error(self, now: float, reason: str) -> None:
+        """A frame could not be decoded: the connection is closed, since later frames cannot be trusted."""
         self._report("malformed message", {"reason": reason}, serious=True)
-        self._give_up(now, reason)
+        self._drop_connection(now, reason)
 
-    def received(self, now: float, message: Message) -> None:
-        if self._link is not LinkState.OPEN:
+    def message_received(self, now: float, message: Message) -> None:
+        if self._connection_state is not ConnectionState.CONNECTED:
             return
-        self._heard_at = now
-        self._failures = 0
+        self._last_received_at = now
+        self._failed_connect_count = 0
         match message:
             case ChangeMessage():
-                self._change(now, message)
+                self._handle_change(now, message)
             case SnapshotBegin():
-                self._begin_snapshot(now, message)
+                self._handle_snapshot_begin(now, message)
             case SnapshotPart():
-                self._snapshot_part(now, message)
+                self._handle_snapshot_part(now, message)
             case Heartbeat(position=position):
-                self._heartbeat(now, position)
+                self._handle_heartbeat(now, position)
             case _:
-                self.malformed(now, f"{type(message).__name__} is not a controller's message")
+                self.protocol_error(now, f"{type(message).__name__} is not a controller's message")
 
-    def turn(self, now: float) -> list[Effect]:
-        if now >= self.due:
-            self._on_time(now)
+    def poll(self, now: float) -> list[Effect]:
+        if now >= self.due_at:
+            self._handle_timeout(now)
         effects, self._effects = self._effects, []
         return effects
 
-    def _on_time(self, now: float) -> None:
-        match self._link:
-            case LinkState.IDLE:
+    def _handle_timeout(self, now: float) -> None:
+        match self._connection_state:
+            case ConnectionState.DISCONNECTED:
                 self._connect(now)
-            case LinkState.CONNECTING:
-                self._give_up(now, "no connection in time")
-            case LinkState.OPEN if now >= self._heard_at + SILENCE_LIMIT:
-                self._give_up(now, "silent")
-            case LinkState.OPEN:
+            case ConnectionState.CONNECTING:
+                self._drop_connection(now, "no connection in time")
+            case ConnectionState.CONNECTED if now >= self._last_received_at + SILENCE_LIMIT:
+                self._drop_connection(now, "silent")
+            case ConnectionState.CONNECTED:
                 self._send(now, Heartbeat(self.position))
 
     def _connect(self, now: float) -> None:
         if not self.controllers:
             self._connect_at = inf
             return
-        address = self.controllers[self._turns_taken % len(self.controllers)]
-        self._turns_taken += 1
-        self._link, self._deadline = LinkState.CONNECTING, now + CONNECT_TIMEOUT
+        address = self.controllers[self._connect_count % len(self.controllers)]
+        self._connect_count += 1
+        self._connection_state, self._deadline = ConnectionState.CONNECTING, now + CONNECT_TIMEOUT
         self._effects.append(Connect(address))
 
-    def _give_up(self, now: float, reason: str) -> None:
+    def _drop_connection(self, now: float, reason: str) -> None:
         self._effects.append(Disconnect())
-        self.lost(now, reason)
+        self.connection_lost(now, reason)
 
-    # Asking
+    # Subscribing
 
-    def _ask(self, now: float) -> None:
-        """Ask for all that follows what is in force; what was received beyond it comes again."""
+    def _subscribe(self, now: float) -> None:
+        """Request everything after the position in force; pending changes are dropped and sent again."""
         self.pending.clear()
         self._received, self._snapshot = self.position, None
-        self._asked, self._progress_at = True, now
-        if self._snapshot_wanted:
+        self._awaiting_response, self._last_progress_at = True, now
+        if self._snapshot_needed:
             self._send(now, Subscribe(self.name, NO_POSITION, 0))
         else:
             self._send(now, Subscribe(self.name, self.position, self.digest))
 
-    def _ask_again(self, now: float, reason: str) -> None:
-        """Where something is missing; not as long as an answer to the last question may still come."""
-        if self._asked:
-            if now - self._progress_at < self._patience:
+    def _resubscribe(self, now: float, reason: str) -> None:
+        """Subscribe again, unless a response to the last subscription may still arrive."""
+        if self._awaiting_response:
+            if now - self._last_progress_at < self._response_timeout:
                 return
-            self._patience = min(LONGEST_PATIENCE, 2 * self._patience)
+            self._response_timeout = min(MAX_RESPONSE_TIMEOUT, 2 * self._response_timeout)
         self._report("asked again", {"reason": reason, "version": self.position.version})
-        self._ask(now)
+        self._subscribe(now)
 
-    def _ask_for_snapshot(self, now: float, reason: str) -> None:
-        self._snapshot_wanted = True
-        self._ask_again(now, reason)
+    def _request_snapshot(self, now: float, reason: str) -> None:
+        self._snapshot_needed = True
+        self._resubscribe(now, reason)
 
-    def _progress(self, now: float) -> None:
-        self._asked, self._progress_at, self._behind_since = False, now, inf
+    def _note_progress(self, now: float) -> None:
+        self._awaiting_response, self._last_progress_at, self._behind_since = False, now, inf
 
-    # What the controller tells
+    # Messages of the controller
 
-    def _heartbeat(self, now: float, position: Position) -> None:
-        self._newest, self._newest_at = position, now
-        if position == self._received and not self._snapshot_wanted and self._snapshot is None:
-            self._asked, self._patience, self._behind_since = False, SHORTEST_PATIENCE, inf
+    def _handle_heartbeat(self, now: float, position: Position) -> None:
+        self._announced_position, self._announced_at = position, now
+        if position == self._received and not self._snapshot_needed and self._snapshot is None:
+            self._awaiting_response, self._response_timeout, self._behind_since = (
+                False,
+                MIN_RESPONSE_TIMEOUT,
+                inf,
+            )
             self._note_current()
             return
-        # It may be on its way, or wait for the controller's pace.
+        # The change may still be in transit, or be delayed by the controller's rate limit.
         self._behind_since = min(now, self._behind_since)
-        patience = SNAPSHOT_PATIENCE if self._snapshot else self._patience
-        if now - max(self._progress_at, self._behind_since) >= patience:
-            self._ask_again(now, "the controller has what did not come")
+        timeout = SNAPSHOT_TIMEOUT if self._snapshot else self._response_timeout
+        if now - max(self._last_progress_at, self._behind_since) >= timeout:
+            self._resubscribe(now, "the controller has what did not come")
 
     def _note_current(self) -> None:
-        """All that the controller named last is in force: it was the newest one when it was named."""
-        named, here = self._newest, self.position
-        if here.epoch == named.epoch and here.version >= named.version and self._newest_at > -inf:
-            self.current_at = self._newest_at
-
-    def _change(self, now: float, message: ChangeMessage) -> None:
+        """Set `current_at` if the last announced position is in force: it was the newest at that time."""
+        announced, in_force = self._announced_position, self.position
+        if (
+            in_force.epoch == announced.epoch
+            and in_force.version >= announced.version
+            and self._announced_at > -inf
+        ):
+            self.current_at = self._announced_at
+
+    def _handle_change(self, now: float, message: ChangeMessage) -> None:
         position, received = message.position, self._received
         if self._snapshot is not None:
             received = self._snapshot.begin.position
         same_epoch = position.epoch == received.epoch
         if same_epoch and position.version <= received.version:
             self._report("change repeated", {"version": position.version})
-        elif self._snapshot_wanted and self._snapshot is None:
-            pass  # the snapshot has it
+        elif self._snapshot_needed and self._snapshot is None:
+            pass  # the snapshot will contain it
         elif self._snapshot is not None or not same_epoch or position.version != received.version + 1:
-            self._ask_again(now, "gap")
+            self._resubscribe(now, "gap")
         elif checksum(message.body) != message.checksum:
             self._report("change spoilt", {"version": position.version}, serious=True)
-            self._ask_again(now, "spoilt")
+            self._resubscribe(now, "spoilt")
         else:
-            self._progress(now)
+            self._note_progress(now)
             self._received = position
-            self._take_on(now, message)
+            self._process_change(now, message)
 
-    def _take_on(self, now: float, message: ChangeMessage) -> None:
-        """A change that follows what was received: apply it, with those that are pending."""
+    def _process_change(self, now: float, message: ChangeMessage) -> None:
+        """Apply the next change in order, merged with the pending ones."""
         if self.pending.unreadable:
             self.pending.add_unreadable()
             self._refuse(now, message.position, [FaultReport((), "one before it could not be read")])
             if now >= self._retry_snapshot_at:
-                self._ask_for_snapshot(now, "a change could not be read")
+                self._request_snapshot(now, "a change could not be read")
             return
         try:
             change = decode_change(message.body)
-        except UnreadableChangeError as fault:
+        except UnreadableChangeError as error:
             self._add_unreadable(now)
             self._refuse(
-                now, message.position, [FaultReport((), f"cannot be read: {fault}"[:MAX_TEXT_LENGTH])]
+                now, message.position, [FaultReport((), f"cannot be read: {error}"[:MAX_TEXT_LENGTH])]
             )
             return
         body = message.body
@@ -381,50 +391,54 @@
             body = encode_change(change)
         else:
             self.pending.add(change, len(body))
-        self._carry_out(ApplyChange(message.position, message.digest, message.accepted_at, change, body))
+        self._request_apply(ApplyChange(message.position, message.digest, message.accepted_at, change, body))
 
     def _add_unreadable(self, now: float) -> None:
         self.pending.add_unreadable()
         self._retry_snapshot_at = now + self._snapshot_retry
-        self._snapshot_retry = min(LONGEST_SNAPSHOT_RETRY, 2 * self._snapshot_retry)
+        self._snapshot_retry = min(MAX_SNAPSHOT_RETRY, 2 * self._snapshot_retry)
 
-    def _begin_snapshot(self, now: float, begin: SnapshotBegin) -> None:
+    def _handle_snapshot_begin(self, now: float, begin: SnapshotBegin) -> None:
         if self._snapshot is not None and self._snapshot.begin == begin:
-            return  # told twice
+            return  # duplicate message
         newer = begin.position.epoch != self._received.epoch or begin.position > self._received
-        if not (newer or self._asked or self._snapshot_wanted):
+        if not (newer or self._awaiting_response or self._snapshot_needed):
             self._report("snapshot repeated", {"version": begin.position.version})
             return
-        self._progress(now)
-        if not newer and not self._distrusted and self._snapshot_wanted:
-            self._snapshot_wanted = False  # an old one: changes follow it that may help
+        self._note_progress(now)
+        if not newer and not self._inconsistent and self._snapshot_needed:
+            self._snapshot_needed = (
+                False  # an old snapshot: the changes after it may make the refused one applicable
+            )
             return
         self._snapshot = IncomingSnapshot(begin)
-        self._end_snapshot(now)
+        self._finish_snapshot(now)
 
-    def _snapshot_part(self, now: float, part: SnapshotPart) -> None:
+    def _handle_snapshot_part(self, now: float, part: SnapshotPart) -> None:
         snapshot = self._snapshot
-        if snapshot is None:  # of one that was not taken on; where its beginning was lost, a heartbeat tells
+        if (
+            snapshot is None
+        ):  # the snapshot was ignored; if its begin message was lost, a heartbeat reveals it
             return
         try:
             outcome = snapshot.add(part)
-        except UnreadableChangeError as fault:
+        except UnreadableChangeError as error:
             self._snapshot = None
             self._refuse_snapshot(
-                now, snapshot.begin.position, [FaultReport((), f"cannot be read: {fault}"[:MAX_TEXT_LENGTH])]
+                now, snapshot.begin.position, [FaultReport((), f"cannot be read: {error}"[:MAX_TEXT_LENGTH])]
             )
             return
         match outcome:
-            case PartOutcome.TAKEN:
-                self._progress(now)
-                self._end_snapshot(now)
+            case PartOutcome.ACCEPTED:
+                self._note_progress(now)
+                self._finish_snapshot(now)
             case PartOutcome.MISSING:
-                self._ask_for_snapshot(now, "a part of a snapshot is missing")
-            case PartOutcome.SPOILT:
+                self._request_snapshot(now, "a part of a snapshot is missing")
+            case PartOutcome.CORRUPTED:
                 self._report("snapshot spoilt", {"part": part.number}, serious=True)
-                self._ask_for_snapshot(now, "spoilt")
+                self._request_snapshot(now, "spoilt")
 
-    def _end_snapshot(self, now: float) -> None:
+    def _finish_snapshot(self, now: float) -> None:
         snapshot = self._snapshot
         if snapshot is None or not snapshot.complete:
             return
@@ -432,21 +446,23 @@
         begin = snapshot.begin
         if not snapshot.matches:
             self._report("snapshot spoilt", {"version": begin.position.version}, serious=True)
-            self._snapshot_wanted = self._asked = True  # after a while: one spoilt for good costs little
+            self._snapshot_needed = self._awaiting_response = (
+                True  # only after a timeout, so that a permanently corrupted one costs little
+            )
             return
         entries, parts = tuple(snapshot.entries), tuple(snapshot.parts)
-        self._carry_out(ReplaceEntries(begin.position, begin.digest, entries, parts))
+        self._request_apply(ReplaceEntries(begin.position, begin.digest, entries, parts))
 
-    # Outcomes
+    # Results of effects
 
-    def _carry_out(self, effect: ApplyChange | ReplaceEntries) -> None:
+    def _request_apply(self, effect: ApplyChange | ReplaceEntries) -> None:
         self._outstanding = effect
         self._effects.append(effect)
 
     def applied(self, now: float, digest: int, on_disk: bool = True) -> None:
-        """What was to be applied is in force; `digest` is of all entries now.
+        """The outstanding change or snapshot is in force; `digest` is the digest of all entries now.
 
-        Not `on_disk`: it could not be written; the controller hears of it by `stored`.
+        Without `on_disk` it could not be written; the controller is informed once `persisted` is called.
         """
         effect, self._outstanding = self._outstanding, None
         assert effect is not None
@@ -456,26 +472,28 @@
         self._on_disk = on_disk
         if digest != effect.digest:
             self._report("digest differs", {"version": effect.position.version}, serious=True)
-            self.distrust()
-            self._asked = isinstance(effect, ReplaceEntries)  # then after a while
-            self._ask_for_snapshot(now, "digest differs")
+            self.mark_inconsistent()
+            self._awaiting_response = isinstance(
+                effect, ReplaceEntries
+            )  # after a snapshot, only after a timeout
+            self._request_snapshot(now, "digest differs")
             return
-        self._patience, self._snapshot_retry = SHORTEST_PATIENCE, SHORTEST_SNAPSHOT_RETRY
+        self._response_timeout, self._snapshot_retry = MIN_RESPONSE_TIMEOUT, MIN_SNAPSHOT_RETRY
         self._note_current()
         if isinstance(effect, ReplaceEntries):
-            self._snapshot_wanted = self._distrusted = False
+            self._snapshot_needed = self._inconsistent = False
         if on_disk:
             self._send(now, InForce(self.position, self.digest))
 
-    def stored(self, now: float) -> None:
-        """What is in force is on disk, after all."""
+    def persisted(self, now: float) -> None:
+        """The configuration in force has been written to disk after an earlier failure."""
         if not self._on_disk:
             self._on_disk = True
-            if self._link is LinkState.OPEN and not self._snapshot_wanted:
+            if self._connection_state is ConnectionState.CONNECTED and not self._snapshot_needed:
                 self._send(now, InForce(self.position, self.digest))
 
     def refused(self, now: float, faults: Sequence[FaultReport]) -> None:
-        """What was to be applied breaks the rules here; nothing of it is in force."""
+        """The outstanding change or snapshot violates the local rules and was not applied at all."""
         effect, self._outstanding = self._outstanding, None
         assert effect is not None
         if isinstance(effect, ReplaceEntries):
@@ -483,10 +501,10 @@
             return
         self._refuse(now, effect.position, faults)
         if self.pending.full:
-            first = self._snapshot_retry == SHORTEST_SNAPSHOT_RETRY
+            first = self._snapshot_retry == MIN_SNAPSHOT_RETRY
             self._add_unreadable(now)
             if first:
-                self._ask_for_snapshot(now, "too many pending changes")
+                self._request_snapshot(now, "too many pending changes")
 
     def _refuse(self, now: float, position: Position, faults: Sequence[FaultReport]) -> None:
         reason = faults[0].reason if faults else ""
@@ -495,22 +513,22 @@
         self._send(now, Refused(position, tuple(faults[:MAX_REPORTED_FAULTS])))
 
     def _refuse_snapshot(self, now: float, position: Position, faults: Sequence[FaultReport]) -> None:
-        """Later changes follow on a state that is not known here: they wait for another snapshot."""
+        """Refuse a snapshot. Later changes build on its unknown state, so they wait for another snapshot."""
         self.pending.clear()
         self._add_unreadable(now)
-        self._received, self._snapshot_wanted = position, False
+        self._received, self._snapshot_needed = position, False
         self._refuse(now, position, faults)
 
-    # Details
+    # Helpers
 
     def _send(self, now: float, message: Message) -> None:
-        self._sent_at = now
+        self._last_sent_at = now
         self._effects.append(Send(message))
 
     def _report(self, event: str, fields: dict[str, object], serious: bool = False) -> None:
         self._effects.append(SubscriberEvent(event, fields, serious))
 
-    def _chance(self) -> float:
-        """Evenly spread over 0 to 1."""
-        self._draws += 1
-        return xxh3_64_intdigest(f"{self.seed}:{self.name}:{self._draws}".encode()) / 2**64
+    def _random_fraction(self) -> float:
+        """Deterministic pseudo-random number, uniform in [0, 1)."""
+        self._random_draws += 1
+        return xxh3_64_intdigest(f"{self.seed}:{self.name}:{self._random_draws}".encode()) / 2**64
--- a/laureldock/sources/controlled.py
+++ b/laureldock/sources/controlled.py
@@ -16,7 +16,7 @@
 from laureldock.interface import AskList
 from laureldock.replication import messages
 from laureldock.replication.change_log import Record
-from laureldock.replication.configuration_store import ConfigurationStore, KeptConfiguration
+from laureldock.replication.configuration_store import ConfigurationStore, StoredConfiguration
 from laureldock.replication.messages import MAX_TEXT_LENGTH, NO_POSITION, FaultReport, Position, fault_report
 from laureldock.replication.subscriber import (
     CONNECT_TIMEOUT,
@@ -106,7 +106,7 @@
 
     # Its life
 
-    def restore(self, kept: KeptConfiguration) -> None:
+    def restore(self, kept: StoredConfiguration) -> None:
         """What was kept is in force already."""
         self.subscriber.restore(self._now(), kept.position, kept.digest, kept.age)
 
@@ -121,7 +121,7 @@
 
     def try_again(self) -> None:
         """The rules of the sink may have changed."""
-        self.subscriber.try_again(self._now())
+        self.subscriber.retry_refused(self._now())
         self._turn()
 
     def _now(self) -> float:
@@ -134,7 +134,7 @@
             frames.transport.abortConnection()
             return
         self._frames = frames
-        self.subscriber.connected_to(self._now())
+        self.subscriber.connection_opened(self._now())
         self._turn()
 
     def frame_came(self, frames: _Frames, frame: bytes) -> None:
@@ -158,9 +158,9 @@
         try:
             message = messages.decode(self._waiting.popleft())
         except messages.MalformedMessageError as fault:
-            self.subscriber.malformed(self._now(), str(fault))
+            self.subscriber.protocol_error(self._now(), str(fault))
         else:
-            self.subscriber.received(self._now(), message)
+            self.subscriber.message_received(self._now(), message)
         self._turn()
         self._confirm_soon()
         if self._paused and not self._waiting and self._frames is not None:
@@ -169,19 +169,19 @@
 
     def too_long(self, frames: _Frames) -> None:
         if frames is self._frames:
-            self.subscriber.malformed(self._now(), "frame too long")
+            self.subscriber.protocol_error(self._now(), "frame too long")
             self._turn()
 
     def closed(self, frames: _Frames, reason: str) -> None:
         if frames is self._frames:
             self._forget_stream()
-            self.subscriber.lost(self._now(), reason)
+            self.subscriber.connection_lost(self._now(), reason)
             self._turn()
 
     def connect_failed(self, connector: Any, reason: str) -> None:
         if connector is self._connector:
             self._forget_stream()
-            self.subscriber.lost(self._now(), reason)
+            self.subscriber.connection_lost(self._now(), reason)
             self._turn()
 
     def _forget_stream(self) -> None:
@@ -200,14 +200,14 @@
     # Turns
 
     def _turn(self) -> None:
-        while effects := self.subscriber.turn(self._now()):
+        while effects := self.subscriber.poll(self._now()):
             for effect in effects:
                 self._carry_out(effect)
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
-        if self.subscriber.due < float("inf"):
-            self._timer = self.reactor.callLater(max(0.0, self.subscriber.due - self._now()), self._turn)
+        if self.subscriber.due_at < float("inf"):
+            self._timer = self.reactor.callLater(max(0.0, self.subscriber.due_at - self._now()), self._turn)
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
@@ -236,7 +236,7 @@
             return
         except Exception as defect:  # ends this change, not the process; what is in force now is not known
             self.on_event(SubscriberEvent("fault", {"fault": repr(defect)}, serious=True))
-            self.subscriber.distrust()
+            self.subscriber.mark_inconsistent()
             self.subscriber.refused(self._now(), [FaultReport((), f"fault: {defect!r}"[:MAX_TEXT_LENGTH])])
             return
         right = self.sink.digest == effect.digest
@@ -250,10 +250,10 @@
             return True
         try:
             if isinstance(effect, ReplaceEntries):
-                self.store.replace(effect.position, effect.digest, effect.parts)
+                self.store.replace_all(effect.position, effect.digest, effect.parts)
             else:
                 record = Record(effect.position, effect.digest, effect.accepted_at, effect.body)
-                self.store.keep(record, self.sink.entries)
+                self.store.append_change(record, self.sink.entries)
         except OSError as fault:
             self.on_event(SubscriberEvent("not kept", {"fault": str(fault)}, serious=True))
             return False
@@ -274,7 +274,7 @@
         if self.sink.digest == subscriber.digest and self.store.retry(
             subscriber.position, subscriber.digest, self.sink.entries
         ):
-            subscriber.stored(now)
+            subscriber.persisted(now)
             self._turn()
 
 
@@ -328,17 +328,17 @@
             return
         except Exception as defect:  # keeps no dispatcher from starting
             self.settled = before
-            self.stream.subscriber.distrust()
+            self.stream.subscriber.mark_inconsistent()
             self.stream.on_event(SubscriberEvent("fault", {"fault": repr(defect)}, serious=True))
             return
         self.stream.restore(kept)
         self.core.guard(self.core.news, [], False)
 
-    def _load(self) -> KeptConfiguration:
+    def _load(self) -> StoredConfiguration:
         try:
             return self.store.load()
         except OSError as fault:
-            return KeptConfiguration(fault=str(fault))
+            return StoredConfiguration(fault=str(fault))
 
     def _wait_for_lock(self) -> None:
         if self._closed:
--- a/tests/replication_rig.py
+++ b/tests/replication_rig.py
@@ -171,7 +171,7 @@
         self.turn()
 
     def turn(self) -> None:
-        while effects := self.subscriber.turn(self.now):
+        while effects := self.subscriber.poll(self.now):
             for effect in effects:
                 self.effects.append(effect)
                 self.carry_out(effect)
@@ -180,7 +180,7 @@
         match effect:
             case Connect():
                 if self.reachable:
-                    self.subscriber.connected_to(self.now)
+                    self.subscriber.connection_opened(self.now)
             case Send(message=message):
                 self.sent.append(message)
                 if isinstance(message, Subscribe) and self.reachable:
@@ -209,7 +209,7 @@
     def tell(self, *messages: Message) -> None:
         for message in messages:
             for each in self.wire(message):
-                self.subscriber.received(self.now, each)
+                self.subscriber.message_received(self.now, each)
                 self.turn()
 
     def accept(self, change: Change, body: bytes | None = None) -> None:
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -23,9 +23,9 @@
     LOG_NAME,
     SNAPSHOT_NAME,
     ChangeLog,
+    CorruptedLogError,
     LogInUseError,
     Record,
-    SpoiltLogError,
 )
 from laureldock.replication.messages import NO_POSITION, Position
 
@@ -90,7 +90,7 @@
     for part in parts:
         writer.write(part)
         between()
-    writer.seal(True)
+    writer.finish(True)
     between()
     log.finish_compaction(writer)
 
@@ -110,7 +110,7 @@
     filled(tmp_path, 6)
     log, state = opened(tmp_path)
     assert log.position == Position(EPOCH, 10) and state.values["n10"] == 10 and len(state.values) == 10
-    assert log.torn_bytes == 0 == log.spoilt_bytes
+    assert log.torn_bytes == 0 == log.corrupted_bytes
     append(log, state)
     log.close()
     log, _ = opened(tmp_path)
@@ -233,21 +233,21 @@
         spoilt[place] ^= 1 << (place % 8)
         (folder / name).write_bytes(spoilt)
         log = ChangeLog(folder, durable=True)
-        with pytest.raises(SpoiltLogError, match=rf"{name}: byte \d+: ") as told:
+        with pytest.raises(CorruptedLogError, match=rf"{name}: byte \d+: ") as told:
             State().load(log)
         assert told.value.path == folder / name and told.value.offset <= place
         log.close()
         if name == LOG_NAME:  # a dispatcher drops it and what is behind it, and goes on
             log, state = opened(folder, durable=False)
-            assert 4 <= log.position.version < 7 and log.spoilt_bytes > 0
+            assert 4 <= log.position.version < 7 and log.corrupted_bytes > 0
             append(log, state)
             log.close()
             log, _ = opened(folder, durable=False)
-            assert log.spoilt_bytes == 0
+            assert log.corrupted_bytes == 0
             log.close()
     if name == SNAPSHOT_NAME:
         log = ChangeLog(folder, durable=False)
-        with pytest.raises(SpoiltLogError):
+        with pytest.raises(CorruptedLogError):
             State().load(log)
         log.clear()
         assert log.position == NO_POSITION
@@ -280,7 +280,7 @@
 def test_a_lost_file_is_no_empty_folder(tmp_path: Path, name: str) -> None:
     filled(tmp_path, 3)
     (tmp_path / name).unlink()
-    with pytest.raises(SpoiltLogError):
+    with pytest.raises(CorruptedLogError):
         opened(tmp_path)
 
 
@@ -289,7 +289,7 @@
     data = (tmp_path / LOG_NAME).read_bytes()
     length = (len(data) - LOG_HEADER.size) // 3
     (tmp_path / LOG_NAME).write_bytes(data[: LOG_HEADER.size] + data[LOG_HEADER.size + length :])
-    with pytest.raises(SpoiltLogError, match="behind"):
+    with pytest.raises(CorruptedLogError, match="behind"):
         opened(tmp_path)
 
 
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -21,7 +21,7 @@
     """A store, and the state that it is to hold."""
 
     def __init__(self, folder: Path, epoch: int = 3) -> None:
-        self.store = ConfigurationStore(folder, wall=lambda: 1000.0)
+        self.store = ConfigurationStore(folder, wall_clock=lambda: 1000.0)
         assert self.store.acquire()
         self.store.load()
         self.sink, self.position = MemorySink(), Position(epoch, 0)
@@ -30,14 +30,14 @@
         self.sink.apply_change(change)
         self.position = Position(self.position.epoch, self.position.version + 1)
         record = Record(self.position, self.sink.digest, 0.0, encode_change(change))
-        self.store.keep(record, self.sink.entries)
+        self.store.append_change(record, self.sink.entries)
 
     def snapshot(self, version: int, *names: str) -> None:
         self.sink.replace_entries([customer(name, 1.0) for name in names])
         self.position = Position(self.position.epoch, version)
         entries = list(self.sink.entries())
         parts = [encode_entries(entries[:2]), encode_entries(entries[2:])]
-        self.store.replace(self.position, self.sink.digest, parts)
+        self.store.replace_all(self.position, self.sink.digest, parts)
 
     def holds(self, store: ConfigurationStore) -> bool:
         found = store.load()
@@ -46,7 +46,7 @@
 
 
 def again(folder: Path) -> ConfigurationStore:
-    store = ConfigurationStore(folder, wall=lambda: 1000.0)
+    store = ConfigurationStore(folder, wall_clock=lambda: 1000.0)
     assert store.acquire()
     return store
 
@@ -183,9 +183,9 @@
     kept.change(put(customer("a", 1.0)))
     kept.store.confirm(age=7.0)
     kept.store.close()
-    store = ConfigurationStore(tmp_path, wall=lambda: 1050.0)
+    store = ConfigurationStore(tmp_path, wall_clock=lambda: 1050.0)
     assert store.load().age == 57.0
-    set_back = ConfigurationStore(tmp_path, wall=lambda: 900.0)
+    set_back = ConfigurationStore(tmp_path, wall_clock=lambda: 900.0)
     assert set_back.load().age == 0.0
 
 
@@ -203,7 +203,7 @@
     assert second.load().position.version == 5
     second.confirm(age=0.0)
     with pytest.raises(OSError, match="not this process's"):
-        second.replace(Position(3, 9), 0, [])
+        second.replace_all(Position(3, 9), 0, [])
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
     log.write_bytes(whole)
     kept.change(remove("a"))  # the first goes on
@@ -259,7 +259,9 @@
                 else:
                     patched.setattr(f"laureldock.replication.change_log.os.{name}", watched)
             try:
-                kept.store.replace(Position(3, 7), kept.sink.digest, [encode_entries(kept.sink.entries())])
+                kept.store.replace_all(
+                    Position(3, 7), kept.sink.digest, [encode_entries(kept.sink.entries())]
+                )
             except KilledError:
                 pass
             else:
--- a/tests/test_controller_stream.py
+++ b/tests/test_controller_stream.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from laureldock.replication import messages
-from laureldock.replication.configuration_store import ConfigurationStore, KeptConfiguration
+from laureldock.replication.configuration_store import ConfigurationStore, StoredConfiguration
 from laureldock.replication.messages import NO_POSITION, InForce, Message, Refused, Subscribe
 from laureldock.replication.subscriber import SubscriberEvent
 from laureldock.setup.catalog import RefusedChangeError
@@ -62,7 +62,9 @@
         self.controller = MemoryController()
         self.sink = RefusingSink()
         self.happened: list[SubscriberEvent] = []
-        self.store = ConfigurationStore(folder, wall=lambda: 1e6 + self.reactor.seconds()) if folder else None
+        self.store = (
+            ConfigurationStore(folder, wall_clock=lambda: 1e6 + self.reactor.seconds()) if folder else None
+        )
         self.stream = ControllerStream(
             self.reactor, ("c:1", "d:2"), "d1", 1, self.sink, self.store, self.happened.append
         )
@@ -135,7 +137,7 @@
     rig.stream.stop()
     assert rig.store
     rig.store.close()
-    kept = ConfigurationStore(tmp_path, wall=lambda: 1e6 + rig.reactor.seconds() + 9.0).load()
+    kept = ConfigurationStore(tmp_path, wall_clock=lambda: 1e6 + rig.reactor.seconds() + 9.0).load()
     assert kept.position == rig.controller.position and kept.age is not None and 8.9 < kept.age < 9.1
 
 
@@ -386,4 +388,4 @@
 
 
 def test_nothing_kept_is_no_position() -> None:
-    assert KeptConfiguration().position == NO_POSITION
+    assert StoredConfiguration().position == NO_POSITION
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -108,7 +108,7 @@
         self.reports: list[Report] = []
 
     def turn(self) -> None:
-        for effect in self.publisher.turn(self.now):
+        for effect in self.publisher.poll(self.now):
             match effect:
                 case Send(stream, payload):
                     assert stream not in self.closed
@@ -123,7 +123,7 @@
         """Up to then, turn by turn as the publisher asks; `beating` streams send their heartbeats."""
         end, beat_at = self.now + seconds, self.now
         self.turn()
-        while (at := min(self.publisher.due, beat_at)) <= end:
+        while (at := min(self.publisher.due_at, beat_at)) <= end:
             self.now = max(self.now, at)
             if beat_at <= self.now:
                 beat_at = self.now + HEARTBEAT_INTERVAL
@@ -138,11 +138,11 @@
         position = Position(epoch, version) if version >= 0 else NO_POSITION
         digest = digest if digest >= 0 else max(0, version * 100)
         name = name or f"d{stream}"
-        self.publisher.received(self.now, stream, Subscribe(name, position, digest))
+        self.publisher.message_received(self.now, stream, Subscribe(name, position, digest))
         self.turn()
 
     def accept(self, size: int = 50) -> None:
-        self.publisher.accepted(self.now, self.history.add(size))
+        self.publisher.change_accepted(self.now, self.history.add(size))
         self.turn()
 
     def told(self, stream: int) -> list[Message]:
@@ -279,7 +279,7 @@
     for stream in range(10):
         world.subscribe(stream, name="again")
         world.run(0.5, (stream,))
-        world.publisher.lost(stream)
+        world.publisher.stream_lost(stream)
     total = sum(size for each in world.bytes.values() for _, size in each)
     assert total <= BURST_BYTES + PACE * 5 + 17000
 
@@ -315,14 +315,14 @@
 def test_a_paused_stream_gets_nothing_and_afterwards_what_it_missed() -> None:
     world = World(1)
     world.subscribe(1, 1)
-    world.publisher.paused(1)
+    world.publisher.stream_paused(1)
     world.accept()
     world.run(3.0, (1,))
     assert world.versions(1) == []
-    world.publisher.resumed(world.now, 1)
+    world.publisher.stream_resumed(world.now, 1)
     world.turn()
     assert world.versions(1) == [2]
-    world.publisher.paused(1)
+    world.publisher.stream_paused(1)
     world.run(SILENCE_LIMIT + 1)
     assert world.closed == [1]
 
@@ -333,7 +333,7 @@
     world.subscribe(1, 1, name="one")
     world.subscribe(2, 1)
     world.run(0.5, (1, 2))
-    world.publisher.lost(1)
+    world.publisher.stream_lost(1)
     world.accept()
     world.run(away, (2,))
     world.subscribe(3, 1, name="one")
@@ -361,8 +361,8 @@
         world.subscribe(stream, 0)
     assert world.closed == [3, 4]
     for stream in range(10, 100):
-        world.publisher.lost(2)
-        world.publisher.lost(stream - 1)
+        world.publisher.stream_lost(2)
+        world.publisher.stream_lost(stream - 1)
         world.run(1.0, (0, 1))
         world.subscribe(stream, 0)
     assert len(world.publisher.subscribers) <= 6 and "d0" in world.publisher.subscribers
@@ -372,8 +372,8 @@
     world = World(2)
     for stream in (1, 2, 3):
         world.subscribe(stream, 2)
-    world.publisher.received(world.now, 1, InForce(Position(EPOCH, 3), 0))
-    world.publisher.received(world.now, 2, StatusRequest())
+    world.publisher.message_received(world.now, 1, InForce(Position(EPOCH, 3), 0))
+    world.publisher.message_received(world.now, 2, StatusRequest())
     world.accept()
     assert sorted(world.closed) == [1, 2] and world.versions(3) == [3]
 
@@ -397,17 +397,17 @@
         world.accept()
         for stream in (1, 2, 3):
             world.publisher.heartbeat(world.now, stream)
-    world.publisher.received(world.now, 1, InForce(Position(EPOCH, 3), 300))
-    world.publisher.received(world.now, 2, InForce(Position(EPOCH, 2), 200))
+    world.publisher.message_received(world.now, 1, InForce(Position(EPOCH, 3), 300))
+    world.publisher.message_received(world.now, 2, InForce(Position(EPOCH, 2), 200))
     fault = FaultReport(("endpoint", "a"), "no such class")
-    world.publisher.received(world.now, 2, Refused(Position(EPOCH, 3), (fault,)))
+    world.publisher.message_received(world.now, 2, Refused(Position(EPOCH, 3), (fault,)))
     status = world.publisher.status(world.now, 9, 0.5)
     assert [(each.version, each.dispatchers) for each in status.versions] == [(3, 1), (2, 1), (0, 2)]
     assert [(each.dispatcher, each.behind_seconds) for each in status.slowest] == [
         ("d3", 2.0), ("d4", 2.0), ("d2", 0.0),
     ]  # fmt: skip
     assert (status.slowest[2].refused_version, status.slowest[2].refused_reason) == (3, "no such class")
-    world.publisher.received(world.now, 2, InForce(Position(EPOCH, 3), 300))
+    world.publisher.message_received(world.now, 2, InForce(Position(EPOCH, 3), 300))
     assert not world.publisher.subscribers["d2"].refusal
 
 
@@ -433,12 +433,12 @@
                 world.history.compact([b"p" * 2000] * chance.randrange(4))
                 world.publisher.compacted(world.now)
             case 4 if streams:
-                world.publisher.paused(chance.choice(list(streams.values())))
+                world.publisher.stream_paused(chance.choice(list(streams.values())))
             case 5 if streams:
-                world.publisher.lost(chance.choice(list(streams.values())))
+                world.publisher.stream_lost(chance.choice(list(streams.values())))
             case _:
                 for stream in streams.values():
-                    world.publisher.resumed(world.now, stream)
+                    world.publisher.stream_resumed(world.now, stream)
         for stream in streams.values():
             world.publisher.heartbeat(world.now, stream)
         world.turn()
--- a/tests/test_replication_world.py
+++ b/tests/test_replication_world.py
@@ -30,21 +30,21 @@
             here = self.state.position
             position = Position(here.epoch, here.version + 1)
             record = Record(position, self.state.catalog.digest, self.wall(), prepared[0])
-            self.publisher.accepted(self.reactor.seconds(), record)
+            self.publisher.change_accepted(self.reactor.seconds(), record)
             self._turn()
         return super()._accept_prepared(change, prepared)
 
 
 class GapNotAskedFor(Subscriber):
-    def _ask_again(self, now: float, reason: str) -> None:
+    def _resubscribe(self, now: float, reason: str) -> None:
         """Waits for it to come by itself."""
 
 
 class GapNotSeen(Subscriber):
-    def _change(self, now: float, message: ChangeMessage) -> None:
+    def _handle_change(self, now: float, message: ChangeMessage) -> None:
         if message.position.epoch == self._received.epoch:
             self._received = Position(message.position.epoch, message.position.version - 1)
-        super()._change(now, message)
+        super()._handle_change(now, message)
 
 
 class HalfApplied(RecordingSink):
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -82,7 +82,7 @@
         for effect in rig.effects[before:]:
             if isinstance(effect, Connect):
                 calls.append((rig.now, effect.address))
-                rig.subscriber.lost(rig.now, "refused")
+                rig.subscriber.connection_lost(rig.now, "refused")
     assert [address for _, address in calls] == ["a:1", "b:1", "c:1"] * 4
     waits = [later - earlier for (earlier, _), (later, _) in pairwise(calls)]
     assert waits[0] <= 0.4 and all(1.9 <= wait <= 4.2 for wait in waits[5:])
@@ -94,7 +94,7 @@
     for name in ("d1", "d2", "d3", "d4"):
         one = module.Subscriber(name, ("a:1",), 1, lambda key: False)
         one.start(0.0)
-        due.add(one.due)
+        due.add(one.due_at)
     assert len(due) == 4 and max(due) <= 0.25
 
 
@@ -153,7 +153,7 @@
     rig.wire = lambda message: held.append(message) or ()  # type: ignore[func-returns-value]
     rig.start()
     rig.after(0.5)
-    rig.subscriber.received(rig.now, rig.controller.heartbeat())
+    rig.subscriber.message_received(rig.now, rig.controller.heartbeat())
     rig.now += 3.0
     assert rig.subscriber.age(rig.now) is None
     rig.wire = lambda message: [message]
@@ -169,7 +169,7 @@
     rig.sink.by_key = dict(old.sink.by_key)
     rig.reachable = False
     rig.start(old.subscriber.position, age=30.0)
-    assert rig.subscriber.settled
+    assert rig.subscriber.has_configuration
     age = rig.subscriber.age(rig.now + 5)
     assert age == 35.0
     rig.reachable = True
@@ -183,10 +183,10 @@
     rig.reachable = False
     rig.start()
     rig.after(5.0)
-    assert not rig.subscriber.settled
+    assert not rig.subscriber.has_configuration
     rig.reachable = True
     rig.after(5.0)
-    assert rig.subscriber.settled and rig.level  # of a controller without any entry
+    assert rig.subscriber.has_configuration and rig.level  # of a controller without any entry
 
 
 # Changes
@@ -277,7 +277,7 @@
     rig = following()
     rig.controller = MemoryController(epoch=8)
     rig.controller.accept(put(customer("other", 1.0)))
-    rig.subscriber.lost(rig.now, "closed")
+    rig.subscriber.connection_lost(rig.now, "closed")
     rig.after(5.0)
     assert rig.level and set(rig.sink.by_key) == set(rig.controller.state.by_key)
 
@@ -337,7 +337,7 @@
     rig.sink.barred = lambda entry: entry.name == "bad"
     rig.controller.kept = 0
     rig.controller.accept(put(customer("bad", 1.0)))
-    rig.subscriber.lost(rig.now, "closed")
+    rig.subscriber.connection_lost(rig.now, "closed")
     rig.after(5.0)
     assert rig.refusals() == [4] and rig.subscriber.position.version == 3
     assert len(rig.sink.history) == 2
@@ -357,7 +357,7 @@
     rig.sink.barred = lambda entry: entry.name == "bad"
     rig.accept(put(customer("bad", 1.0)))
     rig.sink.barred = lambda entry: False
-    rig.subscriber.try_again(rig.now)
+    rig.subscriber.retry_refused(rig.now)
     rig.turn()
     assert rig.level
 
@@ -422,8 +422,8 @@
     )
     rig.start()
     rig.after(1.0)
-    rig.subscriber.lost(rig.now, "closed")
-    assert not rig.subscriber.settled
+    rig.subscriber.connection_lost(rig.now, "closed")
+    assert not rig.subscriber.has_configuration
     rig.wire = lambda message: [message]
     rig.after(5.0)
     assert rig.level and len(rig.sink.history) == 2
@@ -450,13 +450,13 @@
     begin, *parts = rig.controller.snapshot()
     assert isinstance(begin, SnapshotBegin) and isinstance(parts[0], SnapshotPart)
     rig.wire = lambda message: [] if isinstance(message, SnapshotBegin | SnapshotPart) else [message]
-    rig.subscriber.received(rig.now, begin)
-    rig.subscriber.received(rig.now, SnapshotPart(0, parts[0].checksum ^ 1, parts[0].body))
+    rig.subscriber.message_received(rig.now, begin)
+    rig.subscriber.message_received(rig.now, SnapshotPart(0, parts[0].checksum ^ 1, parts[0].body))
     rig.turn()
     assert "snapshot spoilt" in rig.happened and rig.subscriber.position.version == 3
     wrong = SnapshotBegin(begin.position, begin.digest ^ 1, begin.entries, begin.parts)
     for message in (wrong, *parts):
-        rig.subscriber.received(rig.now, message)
+        rig.subscriber.message_received(rig.now, message)
         rig.turn()
     assert rig.happened.count("snapshot spoilt") == 2 and rig.subscriber.position.version == 3
     rig.wire = lambda message: [message]
@@ -482,15 +482,15 @@
     rig.disk_full = True
     rig.accept(put(customer("c9", 1.0)))
     assert rig.sink.by_key == rig.controller.state.by_key and rig.in_force() == [3]
-    rig.subscriber.stored(rig.now)
-    rig.subscriber.stored(rig.now)
+    rig.subscriber.persisted(rig.now)
+    rig.subscriber.persisted(rig.now)
     rig.turn()
     assert rig.in_force() == [3, 4]
 
 
 def test_a_message_that_no_controller_sends_ends_the_stream() -> None:
     rig = following()
-    rig.subscriber.received(rig.now, InForce(Position(1, 1), 0))
+    rig.subscriber.message_received(rig.now, InForce(Position(1, 1), 0))
     rig.turn()
     assert not rig.subscriber.connected and "malformed message" in rig.happened
     rig.after(2.0)
@@ -549,14 +549,14 @@
                 for _ in range(chance.randrange(10)):
                     rig.accept(any_change(chance, rig))
             case "cut":
-                rig.subscriber.lost(rig.now, "cut")
+                rig.subscriber.connection_lost(rig.now, "cut")
             case "wait":
                 rig.after(chance.randrange(80) / 10)
             case "anew":
                 epoch = rig.controller.position.epoch + 1
                 rig.controller = MemoryController(epoch=epoch)
                 controllers.append(rig.controller)
-                rig.subscriber.lost(rig.now, "closed")
+                rig.subscriber.connection_lost(rig.now, "closed")
             case _:
                 mode = "" if mode == step else step
     mode = ""
