--- a/laureldock/assembly.py
+++ b/laureldock/assembly.py
@@ -36,7 +36,7 @@
     from laureldock.replication.subscriber import SubscriberEvent
     from laureldock.setup.catalog import AppliedChange, Catalog
     from laureldock.setup.changes import CatalogEntry, Change, EntryKey
-    from laureldock.sources.controlled import Controlled
+    from laureldock.sources.controlled import ControllerSource
 
 
 CONFIGURATION_FOLDER = "configuration"  # of the state folder; what a controller told
@@ -90,7 +90,7 @@
         fronts: list[Front] = [*self.clients]
         self.receivers = Receivers(core, reactor, self.room)
         self.listed = None if plan.source.kind == "platform" else Listed(core, listing(plan))
-        self.controlled: Controlled | None = None
+        self.controlled: ControllerSource | None = None
         self.source = self.source_of(plan, state)
         self.outlet = self.outlet_of(plan, state)
         core.attach(fronts, self.receivers, self.source, self.outlet)
@@ -131,10 +131,10 @@
         assert self.listed is not None
         return self.listed
 
-    def controlled_source(self, plan: Plan, state: Path) -> Controlled:
+    def controlled_source(self, plan: Plan, state: Path) -> ControllerSource:
         # A dispatcher without a controller imports none of it.
         from laureldock.replication.configuration_store import ConfigurationStore
-        from laureldock.sources.controlled import Controlled, ControllerStream
+        from laureldock.sources.controlled import ControllerSource, ControllerStream
 
         core = self.core
 
@@ -147,7 +147,7 @@
         stream = ControllerStream(
             self.reactor, plan.source.controllers, plan.name, plan.seed, self, store, on_event
         )
-        return Controlled(core, stream, store)
+        return ControllerSource(core, stream, store)
 
     def outlet_of(self, plan: Plan, state: Path) -> Outlet:
         if plan.outlet.address:
@@ -265,7 +265,7 @@
         self.core.counters["configurations read"] += 1
         self.core.log.info("configuration read", changed=changed, routes=len(self.core.book.routes))
         if self.controlled:
-            self.controlled.stream.try_again()
+            self.controlled.stream.retry_refused()
         return []
 
     def rebase(self, plan: Plan) -> list[str]:
--- a/laureldock/controller/__init__.py
+++ b/laureldock/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller: it accepts changes of the configuration and carries them to the dispatchers."""
+"""The controller: accepts changes of the configuration and distributes them to the dispatchers."""
--- a/laureldock/controller/client.py
+++ b/laureldock/controller/client.py
@@ -1,4 +1,4 @@
-"""An operator's command as a client of a controller: one stream, one question, one answer. Blocking."""
+"""Blocking client for operators' commands: one connection, one request and one response."""
 
 from __future__ import annotations
 
@@ -20,70 +20,76 @@
 from laureldock.replication.parts import encoded_size, grouped
 from laureldock.setup.changes import Change, EntryKey, encode_change
 
-CONNECT_LIMIT = 5.0  # seconds
-ANSWER_LIMIT = 180.0  # seconds; a first fill of some hundred thousand entries is checked for long
-PART_BYTES = 48 << 10
-KEY_BYTES = 24  # of a key beside its name, at most
-LENGTH_BYTES = 4
+CONNECT_TIMEOUT = 5.0  # seconds
+RESPONSE_TIMEOUT = 180.0  # seconds; validating a first change of some hundred thousand entries takes long
+PROPOSAL_PART_BYTES = 48 << 10
+KEY_BYTES = 24  # of an encoded key besides its name, at most
+LENGTH_PREFIX_BYTES = 4
 
 
 class UnreachableError(Exception):
-    """No controller answered; whether it accepted what was proposed is not known then."""
+    """No controller responded; whether it accepted a proposed change is unknown."""
 
 
-def parts(change: Change) -> Iterator[bytes]:
-    """A change as bodies of `Propose`, one at least."""
-    for entries in grouped(change.puts, encoded_size, PART_BYTES):
+def proposal_bodies(change: Change) -> Iterator[bytes]:
+    """Split a change into bodies of `Propose` messages, at least one."""
+    for entries in grouped(change.puts, encoded_size, PROPOSAL_PART_BYTES):
         yield encode_change(Change(tuple(entries)))
-    for keys in grouped(change.removals, key_size, PART_BYTES):
+    for keys in grouped(change.removals, key_size, PROPOSAL_PART_BYTES):
         yield encode_change(Change((), tuple(keys)))
     if not change.puts and not change.removals:
         yield encode_change(change)
 
 
 def key_size(key: EntryKey) -> int:
-    """Bytes of an encoded key, at most."""
+    """Upper bound of the bytes of an encoded key."""
     return len(key.name.encode()) + KEY_BYTES
 
 
 def propose(address: str, change: Change, expected_version: int = -1) -> Accepted | Rejected:
-    """UnreachableError."""
-    bodies = list(parts(change))
+    """Propose a change. `expected_version`: refuse unless this is the newest version; -1 for any.
+
+    Raises UnreachableError.
+    """
+    bodies = list(proposal_bodies(change))
     last = len(bodies) - 1
     proposals = (Propose(body, number == last, expected_version) for number, body in enumerate(bodies))
-    answer = ask(address, proposals)
-    if not isinstance(answer, Accepted | Rejected):
-        raise UnreachableError(f"{address} answered something else")
-    return answer
+    response = request(address, proposals)
+    if not isinstance(response, Accepted | Rejected):
+        raise UnreachableError(f"unexpected response from {address}")
+    return response
 
 
 def status(address: str) -> Status:
-    """UnreachableError."""
-    answer = ask(address, iter([StatusRequest()]))
-    if not isinstance(answer, Status):
-        raise UnreachableError(f"{address} answered something else")
-    return answer
+    """Request the status. Raises UnreachableError."""
+    response = request(address, iter([StatusRequest()]))
+    if not isinstance(response, Status):
+        raise UnreachableError(f"unexpected response from {address}")
+    return response
 
 
-def ask(address: str, questions: Iterator[Message]) -> Message:
+def request(address: str, requests: Iterator[Message]) -> Message:
+    """Send the messages and return the response. Raises UnreachableError."""
     host, _, port = address.rpartition(":")
     try:
-        with socket.create_connection((host, int(port)), CONNECT_LIMIT) as link:
-            link.settimeout(ANSWER_LIMIT)
-            with contextlib.suppress(ConnectionError):  # it may have answered before all was sent
-                for question in questions:
-                    payload = messages.encode(question)
-                    link.sendall(len(payload).to_bytes(LENGTH_BYTES, "big") + payload)
-            return answer_of(link)
-    except (OSError, ValueError, MalformedMessageError) as fault:
-        raise UnreachableError(f"no answer from {address}: {fault}") from None
-
-
-def answer_of(link: socket.socket) -> Message:
-    """OSError, MalformedMessageError."""
-    with link.makefile("rb") as stream:
-        head = stream.read(LENGTH_BYTES)
+        with socket.create_connection((host, int(port)), CONNECT_TIMEOUT) as connection:
+            connection.settimeout(RESPONSE_TIMEOUT)
+            with contextlib.suppress(ConnectionError):  # it may respond before everything was sent
+                for message in requests:
+                    payload = messages.encode(message)
+                    connection.sendall(len(payload).to_bytes(LENGTH_PREFIX_BYTES, "big") + payload)
+            return read_response(connection)
+    except (OSError, ValueError, MalformedMessageError) as error:
+        raise UnreachableError(f"no answer from {address}: {error}") from None
+
+
+def read_response(connection: socket.socket) -> Message:
+    """Read one message. Raises OSError, MalformedMessageError."""
+    with connection.makefile("rb") as stream:
+        head = stream.read(LENGTH_PREFIX_BYTES)
         length = int.from_bytes(head, "big")
-        if len(head) < LENGTH_BYTES or length > MAX_FRAME_BYTES:
-            raise MalformedMessageError("the stream ended without an answer" if not head else "not a message")
+        if len(head) < LENGTH_PREFIX_BYTES or length > MAX_FRAME_BYTES:
+            raise MalformedMessageError(
+                "the connection was closed without a response" if not head else "not a message"
+            )
         return messages.decode(stream.read(length))
--- a/laureldock/controller/server.py
+++ b/laureldock/controller/server.py
@@ -1,4 +1,7 @@
-"""The controller's streams: dispatchers that follow, and operators' commands. Each costs its sender alone."""
+"""The controller's connections: subscribed dispatchers and operators' commands.
+
+An error or an exceeded limit closes only the connection concerned.
+"""
 
 from __future__ import annotations
 
@@ -41,21 +44,21 @@
 
 T = TypeVar("T")
 
-MAX_UNNAMED_STREAMS = 64  # that have sent no whole frame yet
-MAX_COMMANDS = 16  # operators' commands at once
-FIRST_FRAME_LIMIT = 5.0  # seconds; also between the parts of a change
-PROPOSAL_LIMIT = 120.0  # seconds for all parts of a change
-MAX_PROPOSAL_BYTES = 64 << 20  # of all changes that are being proposed
+MAX_UNIDENTIFIED_STREAMS = 64  # connections that have not sent a complete frame yet
+MAX_COMMANDS = 16  # operators' commands in progress at once
+FRAME_TIMEOUT = 5.0  # seconds; also applies between the parts of a change
+PROPOSAL_TIMEOUT = 120.0  # seconds for all parts of a change
+MAX_PROPOSAL_BYTES = 64 << 20  # in total, of all changes being proposed
 MAX_DISPATCHER_FRAME = 64 << 10
-# What a dispatcher may send: it tells of each change, and beats.
+# Limits for data from a dispatcher, which acknowledges each change and sends heartbeats.
 RECEIVED_BYTES_PER_SECOND, RECEIVED_BURST = 64 << 10, 256 << 10
-SEND_BUFFER_BYTES = 64 << 10  # of the system, for each dispatcher
-CLOSING_LIMIT = 5.0  # seconds in which an answer must be taken
+SEND_BUFFER_BYTES = 64 << 10  # of the socket of each dispatcher
+CLOSE_TIMEOUT = 5.0  # seconds within which the client must read the response
 BACKLOG = 1024
 
 
 class Controller(Protocol):
-    """What the streams need of it."""
+    """What the connections need of the controller service."""
 
     reactor: PosixReactorBase
     publisher: Publisher
@@ -64,11 +67,11 @@
 
     def propose(self, change: Change, expected_version: int) -> Deferred[Accepted | Rejected]: ...
     def status(self) -> Status: ...
-    def turn_soon(self) -> None: ...
+    def schedule_poll(self) -> None: ...
 
 
 class Proposal:
-    """A change that comes in parts."""
+    """A change that is received in parts."""
 
     def __init__(self) -> None:
         self.puts: list[CatalogEntry] = []
@@ -76,7 +79,7 @@
         self.bytes = 0
 
     def add(self, body: bytes) -> None:
-        """UnreadableChangeError; an entry that is too large is one too."""
+        """Add a part. Raises UnreadableChangeError, also if an entry is too large."""
         part = decode_change(body)
         if len(body) > MAX_ENTRY_BYTES:
             for entry in part.puts:
@@ -87,17 +90,17 @@
 
 
 class ServerStream(Int32StringReceiver):
-    """One connection: it says by its first frame what it is."""
+    """One connection; its first frame identifies it as a dispatcher or a command."""
 
     MAX_LENGTH = MAX_FRAME_BYTES
     transport: Any
 
     def __init__(self, server: Server, number: int) -> None:
         self.server, self.number = server, number
-        self.named = self.subscribed = self.decided = self.closed = False
-        self.received: TokenBucket | None = None
+        self.identified = self.subscribed = self.decided = self.closed = False
+        self.receive_bucket: TokenBucket | None = None
         self.proposal: Proposal | None = None
-        self.proposed_until = 0.0
+        self.proposal_deadline = 0.0
         self.timer: Any = None
 
     # Connection
@@ -107,17 +110,17 @@
         if not self.server.admit(self):
             self.drop("too many streams")
             return
-        self.set_timer(FIRST_FRAME_LIMIT)
+        self.set_timer(FRAME_TIMEOUT)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         self.closed = True
         self.set_timer(None)
         if self.proposal is not None and not self.decided:
             self.release(None, self.proposal)
-        self.server.forget(self)
+        self.server.connection_lost(self)
 
     def set_timer(self, seconds: float | None) -> None:
-        """The stream is dropped after so long; None: no more."""
+        """Drop the connection after this time; None cancels the timer."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
@@ -127,22 +130,22 @@
     def drop(self, reason: str) -> None:
         if not self.closed:
             self.closed = True
-            self.server.dropped(reason)
+            self.server.count_dropped(reason)
             self.transport.abortConnection()
 
     # Frames
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.received is not None:
+        if self.receive_bucket is not None:
             now = self.server.reactor.seconds()
-            self.received.take(now, len(data))
-            if self.received.level(now) < 0:
+            self.receive_bucket.take(now, len(data))
+            if self.receive_bucket.level(now) < 0:
                 self.drop("too much")
         if self.closed:
             return
         try:
             super().dataReceived(data)
-        except Exception:  # a defect costs the stream that met it
+        except Exception:  # an internal error closes only this connection
             self.server.controller.counters["faults"] += 1
             self.server.controller.log.exception("fault", call="dataReceived")
             self.drop("fault")
@@ -151,52 +154,52 @@
         self.drop("frame too long")
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        if self.closed:  # frames behind one that cost the stream
+        if self.closed:  # frames after the one for which it was closed
             return
         try:
             message = messages.decode(string)
-        except MalformedMessageError as fault:
-            self.drop(str(fault).partition(":")[0])
+        except MalformedMessageError as error:
+            self.drop(str(error).partition(":")[0])
             return
         if self.subscribed:
-            self.server.tell(self, message)
+            self.server.forward_to_publisher(self, message)
             return
         match message:
-            case Subscribe() if not self.named:
+            case Subscribe() if not self.identified:
                 self.begin_subscription(message)
-            case StatusRequest() if not self.named and self.server.admit_command(self):
-                self.answer(self.server.controller.status())
-            case Propose() if not self.decided and (self.named or self.server.admit_command(self)):
-                self.take_part(message)
+            case StatusRequest() if not self.identified and self.server.admit_command(self):
+                self.reply(self.server.controller.status())
+            case Propose() if not self.decided and (self.identified or self.server.admit_command(self)):
+                self.add_proposal_part(message)
             case _:
                 self.drop("unexpected message")
 
     def begin_subscription(self, message: Subscribe) -> None:
-        self.named = self.subscribed = True
+        self.identified = self.subscribed = True
         self.MAX_LENGTH = MAX_DISPATCHER_FRAME
         now = self.server.reactor.seconds()
-        self.received = TokenBucket(now, RECEIVED_BYTES_PER_SECOND, RECEIVED_BURST)
-        self.set_timer(None)  # the publisher watches it
+        self.receive_bucket = TokenBucket(now, RECEIVED_BYTES_PER_SECOND, RECEIVED_BURST)
+        self.set_timer(None)  # from now on the publisher detects silence
         self.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         self.transport.registerProducer(WriteMonitor(self), True)
-        self.server.tell(self, message)
+        self.server.forward_to_publisher(self, message)
 
     # An operator's change
 
-    def take_part(self, message: Propose) -> None:
+    def add_proposal_part(self, message: Propose) -> None:
         now = self.server.reactor.seconds()
         if self.proposal is None:
-            self.proposal, self.proposed_until = Proposal(), now + PROPOSAL_LIMIT
-        if not self.server.room_for(self.proposal, len(message.body)):
+            self.proposal, self.proposal_deadline = Proposal(), now + PROPOSAL_TIMEOUT
+        if not self.server.reserve_bytes(self.proposal, len(message.body)):
             self.refuse(f"longer than {MAX_PROPOSAL_BYTES} bytes, with what else is being proposed")
             return
         try:
             self.proposal.add(message.body)
-        except UnreadableChangeError as fault:
-            self.refuse(f"unreadable change: {fault}"[:500])
+        except UnreadableChangeError as error:
+            self.refuse(f"unreadable change: {error}"[:500])
             return
         if not message.last:
-            self.set_timer(min(FIRST_FRAME_LIMIT, self.proposed_until - now))
+            self.set_timer(min(FRAME_TIMEOUT, self.proposal_deadline - now))
             return
         self.set_timer(None)
         change = Change(tuple(self.proposal.puts), tuple(self.proposal.removals))
@@ -204,36 +207,40 @@
         self.decided = True
         decided = self.server.controller.propose(change, message.expected_version)
         decided.addBoth(self.release, self.proposal)
-        decided.addCallbacks(self.answer, self.defect)
+        decided.addCallbacks(self.reply, self.internal_error)
 
     def release(self, result: T, proposal: Proposal) -> T:
-        """Its bytes are held until it is decided, also where the command has gone meanwhile."""
+        """Release the proposal's reserved bytes.
+
+        They stay reserved until the change is decided, even if the client has disconnected.
+        """
         self.server.proposed_bytes -= proposal.bytes
         proposal.bytes = 0
         return result
 
     def refuse(self, reason: str) -> None:
-        self.answer(Rejected((FaultReport((), reason),), 1))
+        self.reply(Rejected((FaultReport((), reason),), 1))
 
-    def defect(self, failure: Failure) -> None:
+    def internal_error(self, failure: Failure) -> None:
         self.server.controller.counters["faults"] += 1
         self.server.controller.log.error("fault", call="propose", exc_info=failure.value)
         self.refuse("a fault in the controller; its log has it")
 
-    def answer(self, message: Accepted | Rejected | Status) -> None:
+    def reply(self, message: Accepted | Rejected | Status) -> None:
         if self.closed:
             return
-        self.sendString(bounded(message))
-        # What the command still sends is read and dropped: closed at once, it might never see the answer.
+        self.sendString(encode_reply(message))
+        # Only the sending side is closed, and further data is read and discarded: an immediate close could
+        # reset the connection before the client has read the response.
         self.closed = True
         self.set_timer(None)
-        self.timer = self.server.reactor.callLater(CLOSING_LIMIT, self.transport.abortConnection)
+        self.timer = self.server.reactor.callLater(CLOSE_TIMEOUT, self.transport.abortConnection)
         self.transport.loseWriteConnection()
 
 
 @implementer(IPushProducer)
 class WriteMonitor:
-    """Tells the publisher where a dispatcher reads more slowly than it is sent to."""
+    """Informs the publisher when a dispatcher reads more slowly than data is sent to it."""
 
     def __init__(self, stream: ServerStream) -> None:
         self.stream, self.server = stream, stream.server
@@ -243,14 +250,14 @@
 
     def resumeProducing(self) -> None:  # noqa: N802
         self.server.controller.publisher.stream_resumed(self.server.reactor.seconds(), self.stream.number)
-        self.server.controller.turn_soon()
+        self.server.controller.schedule_poll()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """The connection is lost; `connectionLost` tells it."""
+        """The connection is lost; `connectionLost` handles it."""
 
 
-def bounded(message: Accepted | Rejected | Status) -> bytes:
-    """The payload; of a refusal with very long faults only as many of these as a frame takes."""
+def encode_reply(message: Accepted | Rejected | Status) -> bytes:
+    """Encode a response; a refusal is limited to as many faults as fit into a frame."""
     payload = messages.encode(message)
     while isinstance(message, Rejected) and len(payload) > MAX_FRAME_BYTES:
         message = Rejected(message.faults[: len(message.faults) // 2], message.count)
@@ -259,68 +266,68 @@
 
 
 class Server(Factory):
-    """All streams of a controller, by number."""
+    """All connections of a controller, by number."""
 
     noisy = False
 
     def __init__(self, controller: Controller) -> None:
         self.controller, self.reactor = controller, controller.reactor
-        self.numbers = 0
-        self.unnamed: dict[int, ServerStream] = {}
+        self.last_number = 0
+        self.unidentified: dict[int, ServerStream] = {}
         self.commands: dict[int, ServerStream] = {}
         self.dispatchers: dict[int, ServerStream] = {}
         self.port: Any = None
-        self.proposed_bytes = 0  # of changes that are not decided yet
+        self.proposed_bytes = 0  # reserved for changes that are not decided yet
 
     @property
     def streams(self) -> int:
-        return len(self.unnamed) + len(self.commands) + len(self.dispatchers)
+        return len(self.unidentified) + len(self.commands) + len(self.dispatchers)
 
     def listen(self, address: str) -> None:
-        """OSError where nothing can listen there."""
+        """Listen on host:port. Raises CannotListenError."""
         host, _, port = address.rpartition(":")
         self.port = self.reactor.listenTCP(int(port), self, backlog=BACKLOG, interface=host)
 
     def close(self) -> None:
         if self.port is not None:
             self.port.stopListening()
-        for group in (self.unnamed, self.commands, self.dispatchers):
+        for group in (self.unidentified, self.commands, self.dispatchers):
             for stream in list(group.values()):
                 stream.transport.abortConnection()
 
     def buildProtocol(self, addr: IAddress | None) -> ServerStream:  # noqa: N802
-        self.numbers += 1
-        return ServerStream(self, self.numbers)
+        self.last_number += 1
+        return ServerStream(self, self.last_number)
 
     def admit(self, stream: ServerStream) -> bool:
-        """A new one, unless too many have not said yet what they are."""
-        if len(self.unnamed) >= MAX_UNNAMED_STREAMS:
+        """Register a new connection, unless too many are not identified yet."""
+        if len(self.unidentified) >= MAX_UNIDENTIFIED_STREAMS:
             return False
-        self.unnamed[stream.number] = stream
+        self.unidentified[stream.number] = stream
         return True
 
     def admit_command(self, stream: ServerStream) -> bool:
         if len(self.commands) >= MAX_COMMANDS:
             return False
-        stream.named = True
-        self.unnamed.pop(stream.number, None)
+        stream.identified = True
+        self.unidentified.pop(stream.number, None)
         self.commands[stream.number] = stream
         return True
 
-    def forget(self, stream: ServerStream) -> None:
-        self.unnamed.pop(stream.number, None)
+    def connection_lost(self, stream: ServerStream) -> None:
+        self.unidentified.pop(stream.number, None)
         self.commands.pop(stream.number, None)
         if self.dispatchers.pop(stream.number, None) is not None:
             self.controller.publisher.stream_lost(stream.number)
-            self.controller.turn_soon()
+            self.controller.schedule_poll()
 
-    def dropped(self, reason: str) -> None:
+    def count_dropped(self, reason: str) -> None:
         self.controller.counters["streams dropped"] += 1
         self.controller.log.warning(
             "stream dropped", why=reason, so_far=self.controller.counters["streams dropped"]
         )
 
-    def room_for(self, proposal: Proposal, size: int) -> bool:
+    def reserve_bytes(self, proposal: Proposal, size: int) -> bool:
         if self.proposed_bytes + size > MAX_PROPOSAL_BYTES:
             return False
         proposal.bytes += size
@@ -329,12 +336,12 @@
 
     # Dispatchers
 
-    def tell(self, stream: ServerStream, message: Message) -> None:
-        """A dispatcher's message to the publisher."""
-        self.unnamed.pop(stream.number, None)
+    def forward_to_publisher(self, stream: ServerStream, message: Message) -> None:
+        """Pass a dispatcher's message to the publisher."""
+        self.unidentified.pop(stream.number, None)
         self.dispatchers[stream.number] = stream
         self.controller.publisher.message_received(self.reactor.seconds(), stream.number, message)
-        self.controller.turn_soon()
+        self.controller.schedule_poll()
 
     def send(self, number: int, payload: bytes) -> None:
         stream = self.dispatchers.get(number)
@@ -342,7 +349,7 @@
             stream.sendString(payload)
 
     def abort(self, number: int) -> None:
-        """The publisher has let go of it."""
+        """Close a connection that the publisher has dropped."""
         stream = self.dispatchers.get(number)
         if stream is not None:
             stream.closed = True
--- a/laureldock/controller/service.py
+++ b/laureldock/controller/service.py
@@ -1,4 +1,4 @@
-"""A controller: it accepts changes one after the other, keeps them on disk, and has them told."""
+"""The controller service: accepts changes one at a time, stores them, and has them distributed."""
 
 from __future__ import annotations
 
@@ -25,54 +25,57 @@
 from laureldock.setup.faults import Fault
 from laureldock.setup.plan import Plan
 
-# A change of more entries is checked beside the reactor, which goes on meanwhile.
+# A change of more entries is validated in a thread, so that it does not block the reactor.
 MAX_INLINE_ENTRIES = 500
 MAX_WAITING_CHANGES = 16
-MIN_TURN_INTERVAL = 0.001  # seconds, between turns that only the clock asks for
-COMPACTION_RETRY = 60.0  # seconds after one that failed
-MAX_TOLD_FAULTS = 1000
+MIN_POLL_INTERVAL = 0.001  # seconds, between polls of the publisher by the timer
+COMPACTION_RETRY = 60.0  # seconds after a failed compaction
+MAX_REPORTED_FAULTS = 1000
 
-Answer = Accepted | Rejected
+ProposalResult = Accepted | Rejected
 
 
 def rejected(*faults: Fault) -> Rejected:
-    return Rejected(tuple(map(fault_report, faults[:MAX_TOLD_FAULTS])), len(faults))
+    return Rejected(tuple(map(fault_report, faults[:MAX_REPORTED_FAULTS])), len(faults))
 
 
 class ControllerService:
-    """`ended`: called with the reason where it cannot go on. `wall` and `reactor.seconds` are its clocks."""
+    """The state, publisher and server of one controller.
+
+    `wall_clock` returns seconds since 1970, `reactor.seconds` monotonic seconds.
+    """
 
     def __init__(
         self,
         plan: Plan,
         folder: Path,
         reactor: Any,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        """OSError; LogInUseError where another controller holds the folder."""
+        """Raises OSError; LogInUseError if another controller has locked the folder."""
         assert plan.controller is not None
-        self.settings, self.reactor, self.wall = plan.controller, reactor, wall
+        self.settings, self.reactor, self.wall_clock = plan.controller, reactor, wall_clock
         self.log = structlog.get_logger().bind(controller=plan.name)
         self.counters: Counter[str] = Counter()
         self.state = AcceptedState(plan, folder)
         self.publisher: Publisher
         self.server = Server(self)
-        self._lock = DeferredLock()  # who holds it may read and change the catalog
-        self._job: SnapshotJob | None = None
+        self._lock = DeferredLock()  # required to read or change the catalog
+        self._snapshot_job: SnapshotJob | None = None
         self._compacting = False
-        self._no_compaction_until = -inf
+        self._compaction_blocked_until = -inf
         self._timer: Any = None
-        self._turning = False
+        self._poll_scheduled = False
         self.stopping = False
 
-    # The life of the process
+    # Start and stop
 
     def start(self) -> None:
-        """CorruptedLogError, RefusedChangeError, OSError."""
-        now, wall = self.reactor.seconds(), self.wall()
+        """Load the state and listen. Raises CorruptedLogError, RefusedChangeError, OSError."""
+        now, wall_time = self.reactor.seconds(), self.wall_clock()
         accepted = []
         for record in self.state.load(new_epoch=int.from_bytes(os.urandom(7), "big") | 1):
-            accepted.append((len(record.body), now - max(0.0, wall - record.accepted_at)))
+            accepted.append((len(record.body), now - max(0.0, wall_time - record.accepted_at)))
         state = self.state
         self.publisher = Publisher(
             now, state.log, state.position, state.digest, self.settings.pace, self.settings.subscribers
@@ -88,23 +91,23 @@
             entries=len(state.catalog),
             torn_bytes=state.log.torn_bytes,
         )
-        self._compact_soon()
+        self._schedule_compaction()
 
     def stop(self) -> None:
-        """In order: no more is accepted, and what is on disk is whole."""
+        """Stop gracefully: no further changes are accepted, and the files are complete."""
         if self.stopping:
             return
         self.stopping = True
-        if self._job is not None:
-            self._job.cancelled = True
+        if self._snapshot_job is not None:
+            self._snapshot_job.cancelled = True
         self.server.close()
         self.reactor.addSystemEventTrigger("after", "shutdown", self._stopped)
         self.reactor.callLater(0, self.reactor.stop)
 
     def _stopped(self) -> None:
-        """No thread runs any more."""
-        if self._job is not None:
-            self._job.writer.discard()
+        """Called after shutdown, when no thread runs any more."""
+        if self._snapshot_job is not None:
+            self._snapshot_job.writer.discard()
         self.log.info("controller stopped", version=self.state.position.version, **self.figures())
         self.state.log.close()
 
@@ -118,16 +121,16 @@
 
     def status(self) -> Status:
         accepted_at = self.state.accepted_at
-        ago = max(0.0, self.wall() - accepted_at) if accepted_at else -1.0
-        return self.publisher.status(self.reactor.seconds(), len(self.state.catalog), ago)
+        seconds_ago = max(0.0, self.wall_clock() - accepted_at) if accepted_at else -1.0
+        return self.publisher.status(self.reactor.seconds(), len(self.state.catalog), seconds_ago)
 
-    def _in_thread(self, call: Callable[..., Any], *words: Any) -> Deferred[Any]:
-        return deferToThreadPool(self.reactor, self.reactor.getThreadPool(), call, *words)
+    def _run_in_thread(self, function: Callable[..., Any], *args: Any) -> Deferred[Any]:
+        return deferToThreadPool(self.reactor, self.reactor.getThreadPool(), function, *args)
 
-    # Accepting
+    # Accepting changes
 
-    def propose(self, change: Change, expected_version: int) -> Deferred[Answer]:
-        """Accepted: it is on disk and told from now on. Rejected: nothing was changed."""
+    def propose(self, change: Change, expected_version: int) -> Deferred[ProposalResult]:
+        """Accepted: the change is on disk and will be distributed. Rejected: nothing was changed."""
         if len(self._lock.waiting) >= MAX_WAITING_CHANGES:
             self.counters["changes refused: busy"] += 1
             return succeed(rejected(Fault((), "too many changes wait", "propose it again later")))
@@ -146,7 +149,7 @@
                 return self._accept_prepared(change, self.state.prepare(change))
             except RefusedChangeError as refused:
                 return self._refuse(refused)
-        prepared = self._in_thread(self.state.prepare, change)
+        prepared = self._run_in_thread(self.state.prepare, change)
         prepared.addCallback(partial(self._accept_prepared, change))
         prepared.addErrback(self._refused_in_thread)
         return prepared
@@ -161,7 +164,7 @@
         self.log.info("change refused", faults=len(refused.faults), first=str(refused)[:MAX_TEXT_LENGTH])
         return rejected(*refused.faults)
 
-    def _accept_prepared(self, change: Change, prepared: tuple[bytes, Change] | None) -> Answer:
+    def _accept_prepared(self, change: Change, prepared: tuple[bytes, Change] | None) -> ProposalResult:
         state = self.state
         if self.stopping:
             return rejected(Fault((), "the controller stops"))
@@ -169,11 +172,11 @@
             self.counters["changes without effect"] += 1
             return Accepted(state.position, state.digest)
         try:
-            record = state.commit(*prepared, accepted_at=self.wall())
-        except OSError as fault:
+            record = state.commit(*prepared, accepted_at=self.wall_clock())
+        except OSError as error:
             self.counters["changes refused: log"] += 1
-            self.log.error("log cannot be written, the change is refused", fault=str(fault))
-            return rejected(Fault((), f"the controller's log cannot be written: {fault.strerror or fault}"))
+            self.log.error("log cannot be written, the change is refused", fault=str(error))
+            return rejected(Fault((), f"the controller's log cannot be written: {error.strerror or error}"))
         self.counters["changes accepted"] += 1
         self.log.info(
             "change accepted",
@@ -184,8 +187,8 @@
             entries=len(state.catalog),
         )
         self.publisher.change_accepted(self.reactor.seconds(), record)
-        self.turn_soon()
-        self._compact_soon()
+        self.schedule_poll()
+        self._schedule_compaction()
         return Accepted(record.position, record.digest)
 
     # Compacting
@@ -198,35 +201,35 @@
             return True
         return log.compaction_due
 
-    def _compact_soon(self) -> None:
+    def _schedule_compaction(self) -> None:
         if self._compacting or self.stopping or not self._compaction_due():
             return
         self._compacting = True
-        wait = max(0.0, self._no_compaction_until - self.reactor.seconds())
+        wait = max(0.0, self._compaction_blocked_until - self.reactor.seconds())
         self.reactor.callLater(wait, self._compact)
 
     def _compact(self) -> None:
-        """A snapshot of the entries as they are; changes are accepted again while it is written."""
-        began = self.reactor.seconds()
-        done: Deferred[Any] = self._lock.run(self._in_thread, self._begin_snapshot)
-        done.addCallback(lambda job: self._in_thread(job.run))
-        done.addCallback(lambda _: self._finish_snapshot(began))
+        """Write a snapshot of the current entries; changes are accepted while it is being written."""
+        started_at = self.reactor.seconds()
+        done: Deferred[Any] = self._lock.run(self._run_in_thread, self._begin_snapshot)
+        done.addCallback(lambda job: self._run_in_thread(job.run))
+        done.addCallback(lambda _: self._finish_snapshot(started_at))
         done.addErrback(self._snapshot_failed)
-        done.addErrback(self._defect)
+        done.addErrback(self._internal_error)
 
     def _begin_snapshot(self) -> SnapshotJob:
-        """In a thread, while no change is made. OSError."""
+        """Runs in a thread while the lock is held, so that the catalog does not change. Raises OSError."""
         if self.stopping:
             raise SnapshotCancelledError
         state = self.state
         entries = list(state.catalog.entries())
         writer = state.log.begin_compaction(state.position, state.digest, len(entries))
-        self._job = SnapshotJob(writer, entries)
-        self._job.cancelled = self.stopping
-        return self._job
+        self._snapshot_job = SnapshotJob(writer, entries)
+        self._snapshot_job.cancelled = self.stopping
+        return self._snapshot_job
 
-    def _finish_snapshot(self, began: float) -> None:
-        job, self._job = self._job, None
+    def _finish_snapshot(self, started_at: float) -> None:
+        job, self._snapshot_job = self._snapshot_job, None
         assert job is not None
         if self.stopping:
             job.writer.discard()
@@ -234,53 +237,53 @@
         self.state.log.finish_compaction(job.writer)
         self._compacting = False
         self.counters["snapshots written"] += 1
-        took = round(self.reactor.seconds() - began, 3)
+        took = round(self.reactor.seconds() - started_at, 3)
         version, size = job.writer.position.version, job.writer.size
         self.log.info("snapshot written", version=version, bytes=size, took=took)
         self.publisher.compacted(self.reactor.seconds())
-        self.turn_soon()
-        self._compact_soon()
+        self.schedule_poll()
+        self._schedule_compaction()
 
     def _snapshot_failed(self, failure: Failure) -> None:
-        self._job, self._compacting = None, False
+        self._snapshot_job, self._compacting = None, False
         if self.stopping:
             return
         failure.trap(OSError)
         self.counters["snapshots failed"] += 1
         self.log.error("snapshot cannot be written", fault=str(failure.value))
-        self._no_compaction_until = self.reactor.seconds() + COMPACTION_RETRY
-        self._compact_soon()
+        self._compaction_blocked_until = self.reactor.seconds() + COMPACTION_RETRY
+        self._schedule_compaction()
 
-    def _defect(self, failure: Failure) -> None:
+    def _internal_error(self, failure: Failure) -> None:
         self._compacting = False
         self.counters["faults"] += 1
         self.log.error("fault", call="compact", exc_info=failure.value)
 
-    # Turns of the publisher
+    # Polling the publisher
 
-    def turn_soon(self) -> None:
-        """Once all that has come in is read."""
-        if not self._turning and not self.stopping:
-            self._turning = True
-            self.reactor.callLater(0, self._turn)
+    def schedule_poll(self) -> None:
+        """Poll the publisher once all received data has been processed."""
+        if not self._poll_scheduled and not self.stopping:
+            self._poll_scheduled = True
+            self.reactor.callLater(0, self._poll)
 
-    def _turn(self) -> None:
-        self._turning = False
+    def _poll(self) -> None:
+        self._poll_scheduled = False
         if self.stopping:
             return
         try:
             for effect in self.publisher.poll(self.reactor.seconds()):
                 self._carry_out(effect)
-        except Exception:  # a defect ends no other stream: what is due is looked at again
+        except Exception:  # an internal error must not stop the other streams: polling continues
             self.counters["faults"] += 1
             self.log.exception("fault", call="turn")
         if self.publisher.compaction_wanted:
-            self._compact_soon()
+            self._schedule_compaction()
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         if self.publisher.due_at < inf:
-            wait = max(MIN_TURN_INTERVAL, self.publisher.due_at - self.reactor.seconds())
-            self._timer = self.reactor.callLater(wait, self.turn_soon)
+            wait = max(MIN_POLL_INTERVAL, self.publisher.due_at - self.reactor.seconds())
+            self._timer = self.reactor.callLater(wait, self.schedule_poll)
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
--- a/laureldock/controller/state.py
+++ b/laureldock/controller/state.py
@@ -1,4 +1,4 @@
-"""What a controller has accepted: a catalog in memory, and the change log that it is rebuilt from."""
+"""A controller's accepted configuration: the catalog in memory, and the change log it is rebuilt from."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class AcceptedState:
-    """The entries at the newest version. `load` is called once, before all else."""
+    """The entries at the newest version. `load` must be called before any other method."""
 
     def __init__(self, base: Plan, folder: Path) -> None:
-        """OSError; LogInUseError where another controller holds the folder."""
+        """Raises OSError; LogInUseError if another controller has locked the folder."""
         self.catalog = Catalog(base)
         self.log = ChangeLog(folder, durable=True)
-        self.accepted_at = 0.0  # of the newest change, seconds since 1970; 0: not known
+        self.accepted_at = 0.0  # of the newest change, in seconds since 1970; 0 if unknown
 
     @property
     def position(self) -> Position:
@@ -34,46 +34,47 @@
         return self.log.digest
 
     def load(self, new_epoch: int) -> Iterator[Record]:
-        """From disk; yields each record behind the snapshot. An empty folder begins with `new_epoch`.
+        """Load the state; yield each record after the snapshot. An empty folder starts with `new_epoch`.
 
-        CorruptedLogError; RefusedChangeError where the entries do not fit the file any more; OSError.
+        Raises CorruptedLogError; RefusedChangeError if the entries do not fit the configuration file any
+        more; OSError.
         """
         replayed = ReplayedEntries()
-        for found in self.log.load():
+        for item in self.log.load():
             try:
-                replayed.add(found)
-            except UnreadableChangeError as fault:
-                raise CorruptedLogError(self.log.folder, 0, f"of a later program? {fault}") from None
-            if isinstance(found, Record):
-                self.accepted_at = found.accepted_at
-                self._compare(replayed.digest, found.digest, found.position)
-                yield found
-        self._compare(replayed.digest, self.log.digest, self.log.position)
+                replayed.add(item)
+            except UnreadableChangeError as error:
+                raise CorruptedLogError(self.log.folder, 0, f"written by a later version? {error}") from None
+            if isinstance(item, Record):
+                self.accepted_at = item.accepted_at
+                self._check_digest(replayed.digest, item.digest, item.position)
+                yield item
+        self._check_digest(replayed.digest, self.log.digest, self.log.position)
         self.catalog.replace(replayed.by_key.values())
         if self.log.position == NO_POSITION:
             self.log.compact(Position(new_epoch, 0), 0, [])
 
-    def _compare(self, digest: int, expected: int, position: Position) -> None:
+    def _check_digest(self, digest: int, expected: int, position: Position) -> None:
         if digest != expected:
-            reason = f"the entries at version {position.version} are others than were accepted"
+            reason = f"the entries at version {position.version} do not match the accepted digest"
             raise CorruptedLogError(self.log.folder, 0, reason)
 
     def prepare(self, change: Change) -> tuple[bytes, Change] | None:
-        """Applied in memory: the encoded change, and the one that undoes it. None: nothing differs.
+        """Apply a change in memory; return its encoding and the change that undoes it.
 
-        RefusedChangeError: nothing was changed.
+        Returns None if it changes nothing. Raises RefusedChangeError: nothing was changed.
         """
         keys = [*(entry.key for entry in change.puts), *change.removals]
-        before = {key: self.catalog.get(key) for key in keys}
-        body = encode_change(change)  # lest a fault of it leave the catalog ahead of the log
+        previous = {key: self.catalog.get(key) for key in keys}
+        body = encode_change(change)  # first: an encoding error must not leave the catalog ahead of the log
         if not self.catalog.apply(change):
             return None
-        puts = tuple(entry for entry in before.values() if entry is not None)
-        removals = tuple(key for key, entry in before.items() if entry is None)
+        puts = tuple(entry for entry in previous.values() if entry is not None)
+        removals = tuple(key for key, entry in previous.items() if entry is None)
         return body, Change(puts, removals)
 
     def commit(self, body: bytes, undo: Change, accepted_at: float) -> Record:
-        """On disk as the next version. OSError: undone, as if it had not been proposed."""
+        """Store a prepared change as the next version. Raises OSError: the change was undone."""
         position = Position(self.position.epoch, self.position.version + 1)
         record = Record(position, self.catalog.digest, accepted_at, body)
         try:
@@ -86,18 +87,18 @@
 
 
 class SnapshotCancelledError(Exception):
-    """The process ends, or the disk failed: the old snapshot and log hold."""
+    """The snapshot was cancelled as the process is stopping; the old snapshot and log remain valid."""
 
 
 class SnapshotJob:
-    """Writes a snapshot in a thread of its own; `cancelled` ends it at the next part."""
+    """Writes a snapshot in a thread; setting `cancelled` stops it at the next part."""
 
     def __init__(self, writer: SnapshotWriter, entries: list[CatalogEntry]) -> None:
         self.writer, self.entries = writer, entries
         self.cancelled = False
 
     def run(self) -> None:
-        """OSError, SnapshotCancelledError: nothing is left of it."""
+        """Raises OSError, SnapshotCancelledError; the temporary file is then deleted."""
         try:
             for part in snapshot_parts(self.entries):
                 if self.cancelled:
--- a/laureldock/sources/controlled.py
+++ b/laureldock/sources/controlled.py
@@ -1,4 +1,4 @@
-"""Receivers and settings as a controller tells them: one stream, followed for as long as the process runs."""
+"""Source of endpoints and settings from a controller, over one connection that is kept open."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 )
 from laureldock.setup.catalog import RefusedChangeError
 
-# Frames that were read and wait for their turn: above so many the stream is not read for a while.
-MAX_WAITING_FRAMES = 64
+# Above this number of received but unprocessed frames, reading from the connection is paused.
+MAX_QUEUED_FRAMES = 64
 # Seconds.
 CONFIRM_INTERVAL = 10.0
-LOCK_INTERVAL = 0.5
+LOCK_RETRY_INTERVAL = 0.5
 
 
-class _Frames(Int32StringReceiver):
+class _FrameProtocol(Int32StringReceiver):
     MAX_LENGTH = messages.MAX_FRAME_BYTES
     transport: Any
 
@@ -49,36 +49,35 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         self.transport.setTcpNoDelay(True)
-        self.stream.opened(self)
+        self.stream.connection_opened(self)
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        self.stream.frame_came(self, string)
+        self.stream.frame_received(self, string)
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        self.stream.too_long(self)
+        self.stream.frame_too_long(self)
 
     def connectionLost(self, reason: Failure | None = None) -> None:  # noqa: N802
-        self.stream.closed(self, reason.getErrorMessage() if reason else "closed")
+        self.stream.connection_lost(self, reason.getErrorMessage() if reason else "closed")
 
 
-class _Connecting(ClientFactory):
+class _ConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(self, stream: ControllerStream) -> None:
         self.stream = stream
 
-    def buildProtocol(self, addr: IAddress | None) -> _Frames:  # noqa: N802
-        return _Frames(self.stream)
+    def buildProtocol(self, addr: IAddress | None) -> _FrameProtocol:  # noqa: N802
+        return _FrameProtocol(self.stream)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802
-        self.stream.connect_failed(connector, reason.getErrorMessage())
+        self.stream.connection_failed(connector, reason.getErrorMessage())
 
 
 class ControllerStream:
-    """Carries out what a `Subscriber` decides: the stream to a controller, `sink`, and `store` if any.
+    """Carries out the effects of a `Subscriber` on the connection, on `sink`, and on `store` if there is one.
 
-    `on_event` is called for the log and the counters, `on_applied` after each change or snapshot that was
-    applied.
+    `on_event` is called for the log and the counters, `on_applied` after each applied change or snapshot.
     """
 
     def __init__(
@@ -97,130 +96,130 @@
         self.subscriber = Subscriber(name, controllers, seed, sink.holds)
         self.bytes_received = 0
         self._connector: Any = None
-        self._frames: _Frames | None = None  # the stream that is open
-        self._waiting: deque[bytes] = deque()
-        self._reading = False  # the next frame's turn is due
-        self._paused = False  # nothing is read from the stream
+        self._protocol: _FrameProtocol | None = None  # of the open connection
+        self._queued_frames: deque[bytes] = deque()
+        self._read_scheduled = False  # processing of the next frame is scheduled
+        self._paused = False  # reading from the connection is paused
         self._timer: Any = None
         self._confirmed_at = 0.0
 
-    # Its life
+    # Start and stop
 
-    def restore(self, kept: StoredConfiguration) -> None:
-        """What was kept is in force already."""
-        self.subscriber.restore(self._now(), kept.position, kept.digest, kept.age)
+    def restore(self, stored: StoredConfiguration) -> None:
+        """Set the position of the stored configuration, which is already in force."""
+        self.subscriber.restore(self._now(), stored.position, stored.digest, stored.age)
 
     def start(self) -> None:
         self.subscriber.start(self._now())
-        self._turn()
+        self._poll()
 
     def stop(self) -> None:
         self._confirm()
         self.subscriber.stop()
-        self._turn()
+        self._poll()
 
-    def try_again(self) -> None:
-        """The rules of the sink may have changed."""
+    def retry_refused(self) -> None:
+        """Request a refused change again, since the sink's rules may have changed."""
         self.subscriber.retry_refused(self._now())
-        self._turn()
+        self._poll()
 
     def _now(self) -> float:
         return self.reactor.seconds()
 
-    # The stream
+    # Connection
 
-    def opened(self, frames: _Frames) -> None:
-        if self._connector is None:  # called off just as it came up
-            frames.transport.abortConnection()
+    def connection_opened(self, protocol: _FrameProtocol) -> None:
+        if self._connector is None:  # cancelled just as it was established
+            protocol.transport.abortConnection()
             return
-        self._frames = frames
+        self._protocol = protocol
         self.subscriber.connection_opened(self._now())
-        self._turn()
+        self._poll()
 
-    def frame_came(self, frames: _Frames, frame: bytes) -> None:
-        if frames is not self._frames:
+    def frame_received(self, protocol: _FrameProtocol, frame: bytes) -> None:
+        if protocol is not self._protocol:
             return
         self.bytes_received += 4 + len(frame)
-        self._waiting.append(frame)
-        if len(self._waiting) > MAX_WAITING_FRAMES:
+        self._queued_frames.append(frame)
+        if len(self._queued_frames) > MAX_QUEUED_FRAMES:
             self._paused = True
-            frames.transport.pauseProducing()
-        if not self._reading:
+            protocol.transport.pauseProducing()
+        if not self._read_scheduled:
             self._read_next()
 
     def _read_next(self) -> None:
-        """One frame, and the next one after whatever else this process has to do by then."""
-        self._reading = False
-        if not self._waiting:
+        """Process one frame, and schedule the next one after other pending events of the reactor."""
+        self._read_scheduled = False
+        if not self._queued_frames:
             return
-        self._reading = True
+        self._read_scheduled = True
         self.reactor.callLater(0, self._read_next)
         try:
-            message = messages.decode(self._waiting.popleft())
-        except messages.MalformedMessageError as fault:
-            self.subscriber.protocol_error(self._now(), str(fault))
+            message = messages.decode(self._queued_frames.popleft())
+        except messages.MalformedMessageError as error:
+            self.subscriber.protocol_error(self._now(), str(error))
         else:
             self.subscriber.message_received(self._now(), message)
-        self._turn()
-        self._confirm_soon()
-        if self._paused and not self._waiting and self._frames is not None:
+        self._poll()
+        self._confirm_if_due()
+        if self._paused and not self._queued_frames and self._protocol is not None:
             self._paused = False
-            self._frames.transport.resumeProducing()
+            self._protocol.transport.resumeProducing()
 
-    def too_long(self, frames: _Frames) -> None:
-        if frames is self._frames:
+    def frame_too_long(self, protocol: _FrameProtocol) -> None:
+        if protocol is self._protocol:
             self.subscriber.protocol_error(self._now(), "frame too long")
-            self._turn()
+            self._poll()
 
-    def closed(self, frames: _Frames, reason: str) -> None:
-        if frames is self._frames:
-            self._forget_stream()
+    def connection_lost(self, protocol: _FrameProtocol, reason: str) -> None:
+        if protocol is self._protocol:
+            self._reset_connection()
             self.subscriber.connection_lost(self._now(), reason)
-            self._turn()
+            self._poll()
 
-    def connect_failed(self, connector: Any, reason: str) -> None:
+    def connection_failed(self, connector: Any, reason: str) -> None:
         if connector is self._connector:
-            self._forget_stream()
+            self._reset_connection()
             self.subscriber.connection_lost(self._now(), reason)
-            self._turn()
+            self._poll()
 
-    def _forget_stream(self) -> None:
-        self._connector = self._frames = None
+    def _reset_connection(self) -> None:
+        self._connector = self._protocol = None
         self._paused = False
-        self._waiting.clear()
+        self._queued_frames.clear()
 
     def _disconnect(self) -> None:
-        connector, frames = self._connector, self._frames
-        self._forget_stream()
-        if frames is not None:
-            frames.transport.abortConnection()
+        connector, protocol = self._connector, self._protocol
+        self._reset_connection()
+        if protocol is not None:
+            protocol.transport.abortConnection()
         elif connector is not None:
             connector.stopConnecting()
 
-    # Turns
+    # Effects
 
-    def _turn(self) -> None:
+    def _poll(self) -> None:
         while effects := self.subscriber.poll(self._now()):
             for effect in effects:
-                self._carry_out(effect)
+                self._execute(effect)
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
         if self.subscriber.due_at < float("inf"):
-            self._timer = self.reactor.callLater(max(0.0, self.subscriber.due_at - self._now()), self._turn)
+            self._timer = self.reactor.callLater(max(0.0, self.subscriber.due_at - self._now()), self._poll)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case Connect(address=address):
                 host, _, port = address.rpartition(":")
                 self._connector = self.reactor.connectTCP(
-                    host, int(port), _Connecting(self), timeout=CONNECT_TIMEOUT
+                    host, int(port), _ConnectionFactory(self), timeout=CONNECT_TIMEOUT
                 )
             case Disconnect():
                 self._disconnect()
             case Send(message=message):
-                if self._frames is not None:
-                    self._frames.sendString(messages.encode(message))
+                if self._protocol is not None:
+                    self._protocol.sendString(messages.encode(message))
             case ApplyChange(change=change):
                 self._apply(effect, lambda: self.sink.apply_change(change))
             case ReplaceEntries(entries=entries):
@@ -234,18 +233,18 @@
         except RefusedChangeError as refused:
             self.subscriber.refused(self._now(), [fault_report(fault) for fault in refused.faults])
             return
-        except Exception as defect:  # ends this change, not the process; what is in force now is not known
-            self.on_event(SubscriberEvent("fault", {"fault": repr(defect)}, serious=True))
+        except Exception as error:  # fails this change only; the entries in force are unknown
+            self.on_event(SubscriberEvent("fault", {"fault": repr(error)}, serious=True))
             self.subscriber.mark_inconsistent()
-            self.subscriber.refused(self._now(), [FaultReport((), f"fault: {defect!r}"[:MAX_TEXT_LENGTH])])
+            self.subscriber.refused(self._now(), [FaultReport((), f"fault: {error!r}"[:MAX_TEXT_LENGTH])])
             return
-        right = self.sink.digest == effect.digest
-        on_disk = right and self._keep(effect)
+        digest_matches = self.sink.digest == effect.digest
+        on_disk = digest_matches and self._store_change(effect)
         self.subscriber.applied(self._now(), self.sink.digest, on_disk)
         self.on_applied()
 
-    def _keep(self, effect: ApplyChange | ReplaceEntries) -> bool:
-        """Whether it is on disk, as far as there is one."""
+    def _store_change(self, effect: ApplyChange | ReplaceEntries) -> bool:
+        """Store the change or snapshot; return whether it is on disk, or True without a store."""
         if self.store is None:
             return True
         try:
@@ -254,17 +253,17 @@
             else:
                 record = Record(effect.position, effect.digest, effect.accepted_at, effect.body)
                 self.store.append_change(record, self.sink.entries)
-        except OSError as fault:
-            self.on_event(SubscriberEvent("not kept", {"fault": str(fault)}, serious=True))
+        except OSError as error:
+            self.on_event(SubscriberEvent("not kept", {"fault": str(error)}, serious=True))
             return False
         return True
 
-    def _confirm_soon(self) -> None:
+    def _confirm_if_due(self) -> None:
         if self._now() - self._confirmed_at >= CONFIRM_INTERVAL:
             self._confirm()
 
     def _confirm(self) -> None:
-        """Keep when the configuration was last known to be the newest, and what could not be kept before."""
+        """Store when the configuration was last known to be the newest, and retry failed writes."""
         subscriber, now = self.subscriber, self._now()
         age = subscriber.age(now)
         if self.store is None or age is None or subscriber.position == NO_POSITION:
@@ -275,19 +274,19 @@
             subscriber.position, subscriber.digest, self.sink.entries
         ):
             subscriber.persisted(now)
-            self._turn()
+            self._poll()
 
 
-def is_filled(position: Position) -> bool:
-    """Whether a controller had accepted anything by then: before, nobody could be served."""
+def has_changes(position: Position) -> bool:
+    """Whether the controller had accepted any change by then; without one there are no destinations."""
     return position.version > 0
 
 
-class Controlled:
-    """The source of a dispatcher that follows a controller.
+class ControllerSource:
+    """The source of a dispatcher that subscribes to a controller.
 
-    The process that holds the store's lock follows; one beside it, while it hands over, serves what is on
-    disk and waits for the lock.
+    Only the process that holds the store's lock subscribes. During a handover the other process uses the
+    configuration on disk and waits for the lock.
     """
 
     def __init__(self, core: News, stream: ControllerStream, store: ConfigurationStore) -> None:
@@ -297,65 +296,65 @@
         self._closed = False
 
     def start(self) -> None:
-        """Serve what was kept on disk, before any controller is reached."""
-        following = self._acquire()
+        """Apply the configuration on disk, before any controller is reached."""
+        may_subscribe = self._acquire()
         self._restore()
-        if following:
+        if may_subscribe:
             self.stream.start()
         else:
-            self.core.later(LOCK_INTERVAL, self._wait_for_lock)
+            self.core.later(LOCK_RETRY_INTERVAL, self._wait_for_lock)
 
     def _acquire(self) -> bool:
         try:
             return self.store.acquire()
-        except OSError as fault:
-            self.stream.on_event(SubscriberEvent("not kept", {"fault": str(fault)}, serious=True))
-            return True  # it follows all the same, and keeps nothing
+        except OSError as error:
+            self.stream.on_event(SubscriberEvent("not kept", {"fault": str(error)}, serious=True))
+            return True  # subscribe nevertheless, and store nothing
 
     def _restore(self) -> None:
-        kept = self._load()
-        if kept.fault:
-            self.stream.on_event(SubscriberEvent("spoilt on disk", {"fault": kept.fault}, serious=True))
-        if kept.position == NO_POSITION:
+        stored = self._load_stored()
+        if stored.fault:
+            self.stream.on_event(SubscriberEvent("spoilt on disk", {"fault": stored.fault}, serious=True))
+        if stored.position == NO_POSITION:
             return
-        before, self.settled = self.settled, self.settled or is_filled(kept.position)
+        previously_settled, self.settled = self.settled, self.settled or has_changes(stored.position)
         try:
-            self.stream.sink.replace_entries(kept.entries)
-        except RefusedChangeError as refused:  # the dispatcher's own file has changed since
-            self.settled = before
+            self.stream.sink.replace_entries(stored.entries)
+        except RefusedChangeError as refused:  # the dispatcher's configuration file has changed since
+            self.settled = previously_settled
             reasons = [str(fault.reason) for fault in refused.faults[:MAX_REPORTED_FAULTS]]
             self.stream.on_event(SubscriberEvent("refused from disk", {"faults": reasons}, serious=True))
             return
-        except Exception as defect:  # keeps no dispatcher from starting
-            self.settled = before
+        except Exception as error:  # must not prevent the dispatcher from starting
+            self.settled = previously_settled
             self.stream.subscriber.mark_inconsistent()
-            self.stream.on_event(SubscriberEvent("fault", {"fault": repr(defect)}, serious=True))
+            self.stream.on_event(SubscriberEvent("fault", {"fault": repr(error)}, serious=True))
             return
-        self.stream.restore(kept)
+        self.stream.restore(stored)
         self.core.guard(self.core.news, [], False)
 
-    def _load(self) -> StoredConfiguration:
+    def _load_stored(self) -> StoredConfiguration:
         try:
             return self.store.load()
-        except OSError as fault:
-            return StoredConfiguration(fault=str(fault))
+        except OSError as error:
+            return StoredConfiguration(fault=str(error))
 
     def _wait_for_lock(self) -> None:
         if self._closed:
             return
         if not self._acquire():
-            self.core.later(LOCK_INTERVAL, self._wait_for_lock)
+            self.core.later(LOCK_RETRY_INTERVAL, self._wait_for_lock)
             return
-        self._restore()  # the process before may have gone on
+        self._restore()  # the previous process may have stored changes meanwhile
         self.stream.start()
 
     def _applied(self) -> None:
-        if not self.settled and is_filled(self.stream.subscriber.position):
+        if not self.settled and has_changes(self.stream.subscriber.position):
             self.settled = True
-            self.core.guard(self.core.news, [], False)  # clients may come now
+            self.core.guard(self.core.news, [], False)  # lets the dispatcher accept clients
 
     def ask(self, asked: AskList) -> None:
-        """The controller tells what there is by itself."""
+        """Does nothing: the controller sends changes by itself."""
 
     def close(self) -> None:
         self._closed = True
@@ -363,7 +362,7 @@
         self.store.close()
 
     def figures(self) -> dict[str, float]:
-        """Of INFO and /_vars. Without an age where nothing was ever known to be the newest."""
+        """Metrics for INFO and /_vars; no age if no configuration was ever known to be the newest."""
         subscriber = self.stream.subscriber
         found: dict[str, float] = {
             "configuration_version": subscriber.position.version,
--- a/tests/test_controller_faults.py
+++ b/tests/test_controller_faults.py
@@ -131,12 +131,12 @@
     good = Follower(found.port, "good")
     parts = MAX_PROPOSAL_BYTES // MAX_BODY_BYTES + 1
     body = encode_change(removal("n" * (MAX_BODY_BYTES - 100)))
-    answer = client.ask(found.address, (Propose(body, False) for _ in range(parts)))
+    answer = client.request(found.address, (Propose(body, False) for _ in range(parts)))
     assert isinstance(answer, Rejected) and "longer than" in answer.faults[0].reason
     large = encode_change(puts("a1", zone="z" * 70_000))
-    answer = client.ask(found.address, iter([Propose(large, True)]))
+    answer = client.request(found.address, iter([Propose(large, True)]))
     assert isinstance(answer, Rejected) and "endpoint.a1 is longer than" in answer.faults[0].reason
-    answer = client.ask(found.address, iter([Propose(b"\xc1", True)]))
+    answer = client.request(found.address, iter([Propose(b"\xc1", True)]))
     assert isinstance(answer, Rejected) and answer.count == 1
     good.follow(found.propose(puts("a2")))
     assert good.position.version == 1
--- a/tests/test_controller_stream.py
+++ b/tests/test_controller_stream.py
@@ -18,7 +18,7 @@
 from laureldock.setup.catalog import RefusedChangeError
 from laureldock.setup.changes import Change
 from laureldock.setup.faults import Fault
-from laureldock.sources.controlled import MAX_WAITING_FRAMES, Controlled, ControllerStream
+from laureldock.sources.controlled import MAX_QUEUED_FRAMES, ControllerSource, ControllerStream
 from laureldock.tariff import Entry
 
 
@@ -173,7 +173,7 @@
     rig = following()
     burst = [rig.controller.accept(put(customer("c1", float(number)))) for number in range(200)]
     rig.tell(*burst)
-    assert rig.transport.producerState == "paused" and MAX_WAITING_FRAMES < 200
+    assert rig.transport.producerState == "paused" and MAX_QUEUED_FRAMES < 200
     seen: list[int] = []
 
     def something_else() -> None:
@@ -266,10 +266,10 @@
         self.told.append((len(hosts), whole))
 
 
-def controlled(rig: Rig) -> tuple[Controlled, Core]:
+def controlled(rig: Rig) -> tuple[ControllerSource, Core]:
     core: Any = Core(rig)
     assert rig.store
-    source = Controlled(core, rig.stream, rig.store)
+    source = ControllerSource(core, rig.stream, rig.store)
     source.start()
     return source, core
 
--- a/tests/test_replication_world.py
+++ b/tests/test_replication_world.py
@@ -8,7 +8,7 @@
 import pytest
 from replication_world import RecordingSink, World, play
 
-from laureldock.controller.service import Answer, ControllerService
+from laureldock.controller.service import ControllerService, ProposalResult
 from laureldock.replication.change_log import Record
 from laureldock.replication.messages import ChangeMessage, Position
 from laureldock.replication.subscriber import Subscriber
@@ -25,13 +25,13 @@
 
 
 class ToldBeforeOnDisk(ControllerService):
-    def _accept_prepared(self, change: Change, prepared: Any) -> Answer:
+    def _accept_prepared(self, change: Change, prepared: Any) -> ProposalResult:
         if prepared is not None:
             here = self.state.position
             position = Position(here.epoch, here.version + 1)
-            record = Record(position, self.state.catalog.digest, self.wall(), prepared[0])
+            record = Record(position, self.state.catalog.digest, self.wall_clock(), prepared[0])
             self.publisher.change_accepted(self.reactor.seconds(), record)
-            self._turn()
+            self._poll()
         return super()._accept_prepared(change, prepared)
 
 
