--- a/tests/followers.py
+++ b/tests/followers.py
@@ -172,7 +172,7 @@
                     self.streams[name] = writer
                 self.heard.append((name, message))
                 if isinstance(message, Subscribe):
-                    for each in self.state.answer(message):
+                    for each in self.state.respond(message):
                         self.send(name, each)
                     self.send(name, self.state.heartbeat())
         except (OSError, EOFError, asyncio.CancelledError):
--- a/tests/replication_rig.py
+++ b/tests/replication_rig.py
@@ -1,4 +1,4 @@
-"""One subscriber with a clock set by hand, a controller in memory, and a wire between that loses as told."""
+"""One subscriber with a manual clock, a controller in memory, and a configurable lossy wire between them."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     entry_digest,
 )
 
-PART_ENTRIES = 2
+ENTRIES_PER_PART = 2
 Wire = Callable[[Message], Iterable[Message]]
 
 
@@ -61,16 +61,16 @@
 
 
 class MemorySinkError(ValueError):
-    """The sink's rules refuse a change."""
+    """The rules of the sink refuse a change."""
 
 
 class MemorySink:
-    """Entries by key. `barred` names what its rules refuse; what is removed must be there."""
+    """Entries by key. `refuses` returns whether an entry is refused; only existing entries can be removed."""
 
     def __init__(self) -> None:
         self.by_key: dict[EntryKey, CatalogEntry] = {}
-        self.barred: Callable[[CatalogEntry], bool] = lambda entry: False
-        self.history: list[dict[EntryKey, CatalogEntry]] = [{}]  # all states that were ever in force
+        self.refuses: Callable[[CatalogEntry], bool] = lambda entry: False
+        self.history: list[dict[EntryKey, CatalogEntry]] = [{}]  # all states that have been in force
 
     @property
     def digest(self) -> int:
@@ -86,61 +86,61 @@
         return list(self.by_key.values())
 
     def apply_change(self, change: Change) -> None:
-        after = dict(self.by_key)
-        for gone in change.removals:
-            if gone not in after:
-                raise MemorySinkError(f"{gone} is not there")
-            del after[gone]
+        entries_after = dict(self.by_key)
+        for removed in change.removals:
+            if removed not in entries_after:
+                raise MemorySinkError(f"{removed} does not exist")
+            del entries_after[removed]
         for entry in change.puts:
-            after[entry.key] = entry
-        self._take(after)
+            entries_after[entry.key] = entry
+        self._take(entries_after)
 
     def replace_entries(self, entries: Iterable[CatalogEntry]) -> None:
         self._take({entry.key: entry for entry in entries})
 
-    def _take(self, after: dict[EntryKey, CatalogEntry]) -> None:
-        for entry in after.values():
-            if self.barred(entry):
-                raise MemorySinkError(f"{entry.key} is barred")
-        self.by_key = after
-        self.history.append(dict(after))
+    def _take(self, entries_after: dict[EntryKey, CatalogEntry]) -> None:
+        for entry in entries_after.values():
+            if self.refuses(entry):
+                raise MemorySinkError(f"{entry.key} is denied")
+        self.by_key = entries_after
+        self.history.append(dict(entries_after))
 
 
 class MemoryController:
-    """What a controller has accepted, and what it would send. `kept`: changes that are not compacted away."""
+    """A stub of a controller in memory; its log has the last `kept_changes` changes."""
 
-    def __init__(self, epoch: int = 7, kept: int = 1000) -> None:
+    def __init__(self, epoch: int = 7, kept_changes: int = 1000) -> None:
         self.state = MemorySink()
         self.position = Position(epoch, 0)
         self.log: list[ChangeMessage] = []
         self.digests = {0: 0}
-        self.kept = kept
+        self.kept_changes = kept_changes
 
     def accept(self, change: Change, body: bytes | None = None) -> ChangeMessage:
-        """`body`: what stands in its place on the wire, as of a later format."""
+        """Accept a change. `body` replaces its encoding on the wire, for example by a later format."""
         self.state.apply_change(change)
         self.position = Position(self.position.epoch, self.position.version + 1)
         body = encode_change(change) if body is None else body
         digest = self.digests[self.position.version] = self.state.digest
         message = ChangeMessage(self.position, digest, 0.0, checksum(body), body)
-        self.log = [*self.log, message][-self.kept :]
+        self.log = [*self.log, message][-self.kept_changes :]
         return message
 
     def heartbeat(self) -> Heartbeat:
         return Heartbeat(self.position)
 
-    def answer(self, asked: Subscribe) -> list[Message]:
-        at = asked.position
-        missing = [each for each in self.log if each.position.version > at.version]
-        whole = len(missing) == self.position.version - at.version
-        known = at.epoch == self.position.epoch and self.digests.get(at.version) == asked.digest
-        return [*missing] if known and whole and at != NO_POSITION else self.snapshot()
+    def respond(self, message: Subscribe) -> list[Message]:
+        position = message.position
+        missing = [each for each in self.log if each.position.version > position.version]
+        complete = len(missing) == self.position.version - position.version
+        known = position.epoch == self.position.epoch and self.digests.get(position.version) == message.digest
+        return [*missing] if known and complete and position != NO_POSITION else self.snapshot()
 
     def snapshot(self) -> list[Message]:
         entries = list(self.state.entries())
         bodies = [
-            encode_entries(entries[place : place + PART_ENTRIES])
-            for place in range(0, len(entries), PART_ENTRIES)
+            encode_entries(entries[start : start + ENTRIES_PER_PART])
+            for start in range(0, len(entries), ENTRIES_PER_PART)
         ]
         begin = SnapshotBegin(self.position, self.state.digest, len(entries), len(bodies))
         parts = [SnapshotPart(number, checksum(body), body) for number, body in enumerate(bodies)]
@@ -148,7 +148,7 @@
 
 
 class Rig:
-    """A subscriber, driven: what it sends is kept in `sent`, a controller's answers go over `wire` to it."""
+    """Drives a subscriber: `sent` has its messages; the controller's responses reach it through `wire`."""
 
     def __init__(self, controller: MemoryController | None = None, **settings: object) -> None:
         self.now = 100.0
@@ -161,22 +161,22 @@
         self.reachable = True
         self.sent: list[Message] = []
         self.effects: list[Effect] = []
-        self.happened: list[str] = []
+        self.events: list[str] = []
         self.disk: list[ApplyChange | ReplaceEntries] = []
         self.disk_full = False
 
     def start(self, position: Position = NO_POSITION, age: float | None = None) -> None:
         self.subscriber.restore(self.now, position, self.sink.digest, age)
         self.subscriber.start(self.now)
-        self.turn()
+        self.poll()
 
-    def turn(self) -> None:
+    def poll(self) -> None:
         while effects := self.subscriber.poll(self.now):
             for effect in effects:
                 self.effects.append(effect)
-                self.carry_out(effect)
+                self.execute(effect)
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         match effect:
             case Connect():
                 if self.reachable:
@@ -184,61 +184,61 @@
             case Send(message=message):
                 self.sent.append(message)
                 if isinstance(message, Subscribe) and self.reachable:
-                    self.answers = self.controller.answer(message)
-                    self.tell(*self.answers)
+                    self.responses = self.controller.respond(message)
+                    self.deliver(*self.responses)
             case ApplyChange(change=change):
                 self.apply(effect, lambda: self.sink.apply_change(change))
             case ReplaceEntries(entries=entries):
                 self.apply(effect, lambda: self.sink.replace_entries(entries))
             case SubscriberEvent(event=event):
                 if event != "controller reached":
-                    self.happened.append(event)
+                    self.events.append(event)
             case Disconnect():
                 pass
 
     def apply(self, effect: ApplyChange | ReplaceEntries, call: Callable[[], None]) -> None:
         try:
             call()
-        except MemorySinkError as fault:
-            self.subscriber.refused(self.now, [FaultReport((), str(fault))])
+        except MemorySinkError as error:
+            self.subscriber.refused(self.now, [FaultReport((), str(error))])
             return
         if not self.disk_full:
             self.disk.append(effect)
         self.subscriber.applied(self.now, self.sink.digest, not self.disk_full)
 
-    def tell(self, *messages: Message) -> None:
+    def deliver(self, *messages: Message) -> None:
         for message in messages:
             for each in self.wire(message):
                 self.subscriber.message_received(self.now, each)
-                self.turn()
+                self.poll()
 
     def accept(self, change: Change, body: bytes | None = None) -> None:
         message = self.controller.accept(change, body)
         if self.subscriber.connected and self.reachable:
-            self.tell(message)
+            self.deliver(message)
 
-    def after(self, seconds: float) -> None:
-        """Time passes in steps of a tenth; the controller tells a heartbeat every two seconds."""
+    def advance(self, seconds: float) -> None:
+        """Advance the clock in steps of 0.1 s; the controller sends a heartbeat every two seconds."""
         for _ in range(round(seconds * 10)):
             before, self.now = self.now, self.now + 0.1
-            self.turn()
+            self.poll()
             if int(before / 2) != int(self.now / 2) and self.subscriber.connected and self.reachable:
-                self.tell(self.controller.heartbeat())
+                self.deliver(self.controller.heartbeat())
 
     def count(self, kind: type[Message]) -> int:
         return sum(isinstance(each, kind) for each in self.sent)
 
-    def asked(self) -> list[Subscribe]:
+    def subscriptions(self) -> list[Subscribe]:
         return [each for each in self.sent if isinstance(each, Subscribe)]
 
-    def in_force(self) -> list[int]:
+    def acknowledged_versions(self) -> list[int]:
         return [each.position.version for each in self.sent if isinstance(each, InForce)]
 
-    def refusals(self) -> list[int]:
+    def refused_versions(self) -> list[int]:
         return [each.position.version for each in self.sent if isinstance(each, Refused)]
 
     @property
-    def level(self) -> bool:
-        """Whether the dispatcher's entries and its version are the controller's."""
+    def in_sync(self) -> bool:
+        """Whether the dispatcher has the entries and the position of the controller."""
         same = self.sink.by_key == self.controller.state.by_key
         return same and self.subscriber.position == self.controller.position
--- a/tests/replication_world.py
+++ b/tests/replication_world.py
@@ -1,7 +1,8 @@
-"""A controller and dispatchers in one process on a clock set by hand: all code as shipped, sockets in memory.
+"""A controller and dispatchers in one process: production code on a manual clock, with sockets in memory.
 
-`play` is a check of the whole way of changes: random ones are accepted while the controller is killed, frames
-are lost and doubled, and dispatchers are cut off; one dispatcher's file is older. It gives what was broken.
+`play` checks the replication end to end: random changes are accepted while the controller is killed, frames
+are lost and duplicated, and dispatchers are disconnected; one dispatcher has an older configuration file. It
+returns the violations found.
 """
 
 from __future__ import annotations
@@ -45,14 +46,14 @@
 FRESH = '[class.fresh]\neffect = "redeliverable"\ntarget_delay = "5s"\nlifetime = "30s"\n'
 CONTROLLER = 'name = "c"\n[controller]\nlisten = "127.0.0.1:1"\n' + CLASSES + FRESH
 DISPATCHER = 'name = "d"\n[source]\nkind = "controller"\ncontrollers = ["127.0.0.1:1"]\n' + CLASSES
-TRANSIT = 0.01  # seconds from one end of a stream to the other
+LATENCY = 0.01  # seconds, the latency of a connection
 STEP = 0.05
-MAX_CALLS = 20_000  # in one step
-IN_TIME = 15.0  # seconds in which a change is in force on all that are up
+MAX_CALLS = 20_000  # scheduled by one step
+SETTLE_TIME = 15.0  # seconds within which a change must be in force on all running dispatchers
 
 
 class RecordingSink(CatalogSink):
-    """A dispatcher's catalog; `digests` are of all states that were ever in force."""
+    """A dispatcher's catalog; `digests` are the digests of all states that have been in force."""
 
     def __init__(self, base: model.Plan) -> None:
         super().__init__(base)
@@ -72,38 +73,38 @@
         self.digests.append(self.digest)
 
 
-class End:
-    """One end of a stream in memory; what is written is one frame."""
+class ConnectionEnd:
+    """One end of a connection in memory; each write is one frame."""
 
-    def __init__(self, world: World, name: str, downward: bool) -> None:
-        self.world, self.name, self.downward = world, name, downward
-        self.peer: End
+    def __init__(self, world: World, name: str, from_controller: bool) -> None:
+        self.world, self.name, self.from_controller = world, name, from_controller
+        self.peer: ConnectionEnd
         self.protocol: Any = None
         self.open = True
         self.socket = self
-        self.flying: deque[bytes | None] = deque()  # None: the close
-        self.moving = False
+        self.in_flight: deque[bytes | None] = deque()  # None: the close
+        self.arrival_scheduled = False
 
     def write(self, data: bytes) -> None:
         if self.open:
-            frames = self.world.wire(self.name, data) if self.downward else [data]
+            frames = self.world.wire(self.name, data) if self.from_controller else [data]
             for frame in frames:
-                self.fly(frame)
-
-    def fly(self, frame: bytes | None) -> None:
-        self.flying.append(frame)
-        if not self.moving:
-            self.moving = True
-            self.world.reactor.callLater(TRANSIT, self.arrive)
-
-    def arrive(self) -> None:
-        self.moving = False
-        if self.name in self.world.cut:  # held back, as by a network that sends it again
-            self.moving = True
-            self.world.reactor.callLater(STEP, self.arrive)
+                self.enqueue(frame)
+
+    def enqueue(self, frame: bytes | None) -> None:
+        self.in_flight.append(frame)
+        if not self.arrival_scheduled:
+            self.arrival_scheduled = True
+            self.world.reactor.callLater(LATENCY, self.deliver)
+
+    def deliver(self) -> None:
+        self.arrival_scheduled = False
+        if self.name in self.world.cut:  # delayed, as by retransmission
+            self.arrival_scheduled = True
+            self.world.reactor.callLater(STEP, self.deliver)
             return
-        while self.flying:
-            frame = self.flying.popleft()
+        while self.in_flight:
+            frame = self.in_flight.popleft()
             if frame is None:
                 self.peer.closed()
             elif self.peer.open:
@@ -116,30 +117,30 @@
 
     def abortConnection(self) -> None:  # noqa: N802
         if self.open:
-            self.fly(None)
+            self.enqueue(None)
             self.world.reactor.callLater(0, self.closed)
 
     loseConnection = loseWriteConnection = abortConnection  # noqa: N815
 
-    def nothing(self, *words: Any) -> None:
-        """As of a socket that always takes what is written."""
+    def ignore(self, *args: Any) -> None:
+        """Does nothing: the socket always accepts written data."""
 
-    setsockopt = setTcpNoDelay = registerProducer = unregisterProducer = nothing  # noqa: N815
-    pauseProducing = resumeProducing = nothing  # noqa: N815
+    setsockopt = setTcpNoDelay = registerProducer = unregisterProducer = ignore  # noqa: N815
+    pauseProducing = resumeProducing = ignore  # noqa: N815
 
 
-class EndlessError(Exception):
-    """Calls follow calls and no time passes."""
+class RunawayError(Exception):
+    """Calls schedule further calls without end while no time passes."""
 
 
 class WorldReactor(MemoryReactorClock):
     world: World
-    calls_made = 0  # asked for since the clock went on
+    calls_scheduled = 0  # scheduled since the clock last advanced
 
     def callLater(self, delay, callable, *args, **kw):  # type: ignore[no-untyped-def]  # noqa: N802
-        self.calls_made += 1
-        if self.calls_made > MAX_CALLS:
-            raise EndlessError
+        self.calls_scheduled += 1
+        if self.calls_scheduled > MAX_CALLS:
+            raise RunawayError
         return super().callLater(delay, callable, *args, **kw)
 
     def connectTCP(  # type: ignore[no-untyped-def]  # noqa: N802
@@ -151,7 +152,7 @@
         bindAddress=None,  # noqa: N803
     ):
         connector = Connector()
-        self.callLater(TRANSIT, self.world.connect, host, factory, connector)  # type: ignore[no-untyped-call]
+        self.callLater(LATENCY, self.world.connect, host, factory, connector)  # type: ignore[no-untyped-call]
         return connector
 
 
@@ -170,7 +171,7 @@
 
 @dataclass
 class World:
-    """`service`, `subscriber` and `sink` are the classes of the controller and its dispatchers."""
+    """The simulation. `service_class`, `subscriber_class` and `sink_class` can be replaced by faulty ones."""
 
     folder: Path
     seed: int
@@ -183,11 +184,11 @@
     accepted: set[int] = field(default_factory=lambda: {0})  # digests of all states on the controller's disk
 
     def __post_init__(self) -> None:
-        self.chance = random.Random(self.seed)
+        self.rng = random.Random(self.seed)
         self.reactor: Any = WorldReactor()  # type: ignore[no-untyped-call]
         self.reactor.world = self
-        self.ends: list[End] = []
-        self.killed_before = self.killed_after = 0  # the version whose record is not, or just, on disk
+        self.ends: list[ConnectionEnd] = []
+        self.killed_before = self.killed_after = 0  # the version before or after whose write it is killed
         self.file = self.folder / "controller.toml"
         self.file.write_text(CONTROLLER)
         self.service: ControllerService | None = None
@@ -202,7 +203,7 @@
         self.service = service
         append = service.state.log.append
 
-        def watched(record: Record) -> None:
+        def append_unless_killed(record: Record) -> None:
             if record.position.version == self.killed_before:
                 self.kill_controller()
                 raise OSError("killed")
@@ -211,18 +212,18 @@
             if record.position.version == self.killed_after:
                 self.kill_controller()
 
-        service.state.log.append = watched  # type: ignore[method-assign]
+        service.state.log.append = append_unless_killed  # type: ignore[method-assign]
 
     def kill_controller(self) -> None:
-        """What it has written to sockets still arrives."""
+        """Data it has written to sockets still arrives."""
         service, self.service = self.service, None
         assert service
         service.stopping = True
         service.state.log.close()
         for end in self.ends:
-            if end.downward and end.open:
+            if end.from_controller and end.open:
                 end.open = False
-                end.fly(None)
+                end.enqueue(None)
 
     def accept(self, change: Change) -> None:
         if self.service:
@@ -245,7 +246,7 @@
         if self.service is None or name in self.cut:
             factory.clientConnectionFailed(connector, Failure(ConnectionRefusedError()))  # type: ignore[no-untyped-call]
             return
-        down, up = End(self, name, True), End(self, name, False)
+        down, up = ConnectionEnd(self, name, True), ConnectionEnd(self, name, False)
         down.peer, up.peer = up, down
         down.protocol = self.service.server.buildProtocol(None)
         up.protocol = factory.buildProtocol(None)
@@ -256,25 +257,25 @@
     def wire(self, name: str, data: bytes) -> list[bytes]:
         if not self.lossy:
             return [data]
-        return self.chance.choices([[data], [], [data, data]], [8, 1, 1])[0]
+        return self.rng.choices([[data], [], [data, data]], [8, 1, 1])[0]
 
     # Time
 
-    def after(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         for _ in range(round(seconds / STEP)):
-            self.reactor.calls_made = 0
+            self.reactor.calls_scheduled = 0
             self.reactor.advance(STEP)
-            self.look()
+            self.check_states()
 
-    def look(self) -> None:
-        """What is in force anywhere was accepted, and is on the controller's disk."""
+    def check_states(self) -> None:
+        """Check that every state in force was accepted, and is on the controller's disk."""
         for name, follower in self.followers.items():
             for digest in follower.sink.digests:
                 if digest not in self.accepted:
-                    self.faults.append(f"{name}: in force is what was never accepted")
+                    self.faults.append(f"{name}: a state in force was never accepted")
             follower.sink.digests.clear()
 
-    def level(self) -> bool:
+    def in_sync(self) -> bool:
         assert self.service
         position, digest = self.service.state.position, self.service.state.digest
         return all(
@@ -283,14 +284,14 @@
         )
 
     def settle(self) -> None:
-        """No more faults: all are level in time."""
+        """End all faults, and check that all dispatchers are in sync in time."""
         self.cut.clear()
         self.lossy = False
         if self.service is None:
             self.start_controller()
-        self.after(IN_TIME)
-        if not self.level():
-            self.faults.append("not in force on all in time")
+        self.advance(SETTLE_TIME)
+        if not self.in_sync():
+            self.faults.append("not in force everywhere in time")
 
 
 def endpoint(number: int, rate: float) -> EndpointEntry:
@@ -305,56 +306,56 @@
 
 
 def play(world: World, steps: int = 60) -> list[str]:
-    """What was broken: nothing where all is sound."""
-    chance = world.chance
+    """Play random steps; return the violations found."""
+    rng = world.rng
     world.start_controller()
     for name in ("d1", "d2", "d3"):
         world.add(name)
     world.add("old", extra="")
     world.accept(Change(puts=(endpoint(0, 1.0),)))
-    world.after(3.0)
+    world.advance(3.0)
     for _ in range(steps):
-        match chance.choice(
+        match rng.choice(
             ["change", "change", "change", "burst", "wait", "kill", "cut", "heal", "lossy", "fresh"]
         ):
             case "change":
-                world.accept(any_change(chance, world))
+                world.accept(any_change(rng, world))
             case "burst":
-                for _ in range(chance.randrange(15)):
-                    world.accept(any_change(chance, world))
+                for _ in range(rng.randrange(15)):
+                    world.accept(any_change(rng, world))
             case "wait":
-                world.after(chance.randrange(40) * STEP)
+                world.advance(rng.randrange(40) * STEP)
             case "kill" if world.service:
                 version = world.service.state.position.version + 1
-                if chance.random() < 0.5:
+                if rng.random() < 0.5:
                     world.killed_before = version
                 else:
                     world.killed_after = version
-                world.accept(any_change(chance, world))
+                world.accept(any_change(rng, world))
                 world.killed_before = world.killed_after = 0
-                world.after(chance.randrange(40) * STEP)
+                world.advance(rng.randrange(40) * STEP)
                 if world.service is None:
                     world.start_controller()
             case "cut":
-                world.cut.add(chance.choice(["d1", "d2", "d3", "old"]))
+                world.cut.add(rng.choice(["d1", "d2", "d3", "old"]))
             case "heal":
                 world.cut.clear()
             case "lossy":
                 world.lossy = not world.lossy
-            case "fresh":  # what the old one refuses, and what makes up for it
-                some = (endpoint(chance.randrange(9), 1.0 + chance.randrange(99)), FRESH_TERMS)
-                world.accept(Change(puts=some))
-                world.after(chance.randrange(10) * STEP)
+            case "fresh":  # a change that the old dispatcher refuses, and one that corrects it
+                entries = (endpoint(rng.randrange(9), 1.0 + rng.randrange(99)), FRESH_TERMS)
+                world.accept(Change(puts=entries))
+                world.advance(rng.randrange(10) * STEP)
                 world.accept(Change(removals=(FRESH_TERMS.key,)))
-        world.after(chance.randrange(6) * STEP)
+        world.advance(rng.randrange(6) * STEP)
     world.settle()
     return world.faults
 
 
-def any_change(chance: random.Random, world: World) -> Change:
-    here = list(world.service.state.catalog.endpoints) if world.service else []
-    if len(here) > 3 and chance.random() < 0.3:
-        return Change(removals=(EntryKey(EntryKind.ENDPOINT, chance.choice(here)),))
+def any_change(rng: random.Random, world: World) -> Change:
+    names = list(world.service.state.catalog.endpoints) if world.service else []
+    if len(names) > 3 and rng.random() < 0.3:
+        return Change(removals=(EntryKey(EntryKind.ENDPOINT, rng.choice(names)),))
     return Change(
-        puts=tuple({n: endpoint(n, 1.0 + chance.randrange(99)) for n in chance.sample(range(9), 2)}.values())
+        puts=tuple({n: endpoint(n, 1.0 + rng.randrange(99)) for n in rng.sample(range(9), 2)}.values())
     )
--- a/tests/test_changes_in_flight.py
+++ b/tests/test_changes_in_flight.py
@@ -1,4 +1,4 @@
-"""What a controller's changes do to a dispatcher: mails in flight, the list, memory, and their cost."""
+"""Effects of a controller's changes on a dispatcher: messages in flight, endpoint list, memory, and cost."""
 
 from __future__ import annotations
 
@@ -26,66 +26,66 @@
 def start(tmp_path: Path) -> Iterator[Start]:
     found: list[Assembled] = []
 
-    def begin(name: str) -> Assembled:
+    def start_dispatcher(name: str) -> Assembled:
         found.append(Assembled(BASE, tmp_path / name))
         return found[-1]
 
-    yield begin
+    yield start_dispatcher
     for each in found:
         each.close()
         assert not each.core.counters["faults"]
 
 
-def taken(dispatcher: Assembled, customer: str = "") -> face.Mail:
+def accept_message(dispatcher: Assembled, customer: str = "") -> face.Mail:
     book, core = dispatcher.core.book, dispatcher.core
-    mail = book.mail(book.classes["news"], "north", 9.0, customer)
-    core.control.taken(core.now(), mail)
-    return mail
+    message = book.mail(book.classes["news"], "north", 9.0, customer)
+    core.control.taken(core.now(), message)
+    return message
 
 
-def test_a_mail_in_flight_keeps_what_it_was_taken_on_under(start: Start) -> None:
+def test_a_message_in_flight_keeps_the_settings_it_was_accepted_with(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.apply_change(
         put(endpoint("n1", "north"), terms(destination="north", connects=2),
             CustomerEntry("acme", Customer(quota=5.0)))
     )  # fmt: skip
-    before = taken(dispatcher, "acme")
+    before = accept_message(dispatcher, "acme")
     dispatcher.apply_change(
         put(terms(destination="north", connects=3), CustomerEntry("acme", Customer(quota=1.0)))
     )
-    after = taken(dispatcher, "acme")
+    after = accept_message(dispatcher, "acme")
     assert before.terms and after.terms and before.customer and after.customer
     assert (before.terms.most_attempts, after.terms.most_attempts) == (2, 3)
     assert before.notes.terms is before.terms
     assert (before.customer.quota, after.customer.quota) == (5.0, 1.0)
     dispatcher.apply_change(removal("customer.acme"))
-    assert taken(dispatcher, "acme").customer is None and before.customer.quota == 5.0
+    assert accept_message(dispatcher, "acme").customer is None and before.customer.quota == 5.0
 
 
-def test_a_mail_waits_for_a_destination_whose_endpoint_is_replaced(start: Start) -> None:
+def test_a_message_waits_for_a_destination_whose_endpoint_is_replaced(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north"), endpoint("s1", "south", 9002)))
-    mail = taken(dispatcher)
+    message = accept_message(dispatcher)
     dispatcher.apply_change(removal("endpoint.n1"))
-    assert dispatcher.core.control.lines[mail.destination].lanes == {}
+    assert dispatcher.core.control.lines[message.destination].lanes == {}
     dispatcher.apply_change(put(endpoint("n2", "north", 9003)))
-    lanes = dispatcher.core.control.lines[mail.destination].lanes
-    assert [route.name for route in lanes] == ["n2"]
-    assert mail.destination is dispatcher.core.book.destination("north")
+    states = dispatcher.core.control.lines[message.destination].lanes
+    assert [route.name for route in states] == ["n2"]
+    assert message.destination is dispatcher.core.book.destination("north")
 
 
-def test_an_endpoint_that_only_moves_its_address_keeps_what_was_learned(start: Start) -> None:
+def test_an_endpoint_with_a_new_address_keeps_its_route_state(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north", 9001)))
     route = dispatcher.core.book.routes["n1"]
-    lane = route.notes
+    state = route.notes
     dispatcher.apply_change(put(endpoint("n1", "north", 9002, time_out=Seconds(2))))
-    assert dispatcher.core.book.routes["n1"] is route and route.notes is lane
+    assert dispatcher.core.book.routes["n1"] is route and route.notes is state
     assert dispatcher.receivers.pools[route].dial == "127.0.0.1:9002"
     assert list(route.time_outs.values()) == [2.0, 2.0]
 
 
-def test_a_refused_change_tells_the_dispatcher_nothing(start: Start) -> None:
+def test_a_refused_change_does_not_modify_the_dispatcher(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north")))
     assert dispatcher.catalog is not None
@@ -95,15 +95,15 @@
     assert (dispatcher.state(), dispatcher.catalog.digest) == before
 
 
-def test_nothing_is_kept_in_pools_and_caches_of_what_is_gone(start: Start) -> None:
-    """What remains of a destination that had endpoints is its line, for mails that may still be owed."""
+def test_pools_and_caches_keep_nothing_of_removed_entries(start: Start) -> None:
+    """Only the state of a destination that had endpoints remains, for messages that may be pending."""
     dispatcher = start("one")
     book = dispatcher.core.book
-    gone = Change()
+    removed = Change()
     for number in range(200):
         puts = (endpoint("n1", f"d{number}"), destination(f"d{number}", "shop"))
-        dispatcher.apply_change(Change(puts, gone.removals))
-        gone = removal(f"destination.d{number}")
+        dispatcher.apply_change(Change(puts, removed.removals))
+        removed = removal(f"destination.d{number}")
         book.mail(book.classes["news"], f"d{number}", 1.0)
     assert dispatcher.catalog is not None and dispatcher.listed is not None
     sizes = [len(dispatcher.catalog), len(dispatcher.listed.held), len(dispatcher.receivers.pools)]
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("name", CHANGES)
-def test_a_change_costs_a_dispatcher_the_same_where_more_is_held(start: Start, name: str) -> None:
+def test_the_cost_of_a_change_does_not_depend_on_the_number_of_entries(start: Start, name: str) -> None:
     counts = []
     for size in (10, 2000):
         dispatcher = start(str(size))
@@ -121,7 +121,7 @@
     assert counts[0] == counts[1] < 5000
 
 
-def test_a_file_read_again_keeps_what_the_controller_told(start: Start) -> None:
+def test_a_reloaded_file_keeps_the_entries_of_the_controller(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north", time_out=Seconds(2)), destination("north", "shop")))
     route = dispatcher.core.book.routes["n1"]
@@ -133,24 +133,24 @@
     assert [each.window for each in dispatcher.core.book.routes.values()] == [3, 3]
 
 
-def test_a_file_read_again_that_disagrees_with_what_was_told_is_not_taken(start: Start) -> None:
+def test_a_reloaded_file_that_contradicts_the_controllers_entries_is_refused(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north", time_out=Seconds(2))))
     before = dispatcher.state()
     news = structs.replace(BASE.classes["news"], time_out=Seconds(3))
-    told = dispatcher.reload(Prepared.of(structs.replace(BASE, classes=BASE.classes | {"news": news})))
-    assert told and "equally specific" in told[0] and dispatcher.state() == before
+    faults = dispatcher.reload(Prepared.of(structs.replace(BASE, classes=BASE.classes | {"news": news})))
+    assert faults and "equally specific" in faults[0] and dispatcher.state() == before
     assert dispatcher.core.counters["configurations refused"] == 1
     dispatcher.apply_change(removal("endpoint.n1"))
 
 
-def test_a_dispatcher_that_follows_no_controller_loads_nothing_of_it() -> None:
+def test_a_dispatcher_without_a_controller_imports_no_replication_modules() -> None:
     parts = ("laureldock.setup.catalog", "laureldock.setup.changes", "laureldock.replication", "xxhash")
     code = f"import sys, laureldock.cli.serve; sys.exit(any(part in sys.modules for part in {parts}))"
     assert subprocess.run([sys.executable, "-c", code], timeout=60).returncode == 0
 
 
-def test_a_time_out_of_a_class_is_told_to_each_route_as_its_own_settings_have_it(start: Start) -> None:
+def test_a_timeout_of_a_class_applies_to_each_route_without_a_more_specific_setting(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.replace_entries(
         [
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""What a dispatcher keeps of its configuration: restarts, spoilt files, a full disk, two processes."""
+"""The configuration stored by a dispatcher: restarts, corrupted files, a full disk, two processes."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from laureldock.stores.spool import Spool
 
 
-class Kept:
-    """A store, and the state that it is to hold."""
+class TrackedStore:
+    """A store and the state that it should contain."""
 
     def __init__(self, folder: Path, epoch: int = 3) -> None:
         self.store = ConfigurationStore(folder, wall_clock=lambda: 1000.0)
@@ -45,107 +45,107 @@
         return same and (found.position, found.digest, found.fault) == (self.position, self.sink.digest, "")
 
 
-def again(folder: Path) -> ConfigurationStore:
+def reopen(folder: Path) -> ConfigurationStore:
     store = ConfigurationStore(folder, wall_clock=lambda: 1000.0)
     assert store.acquire()
     return store
 
 
-def test_changes_and_snapshots_outlive_the_process(tmp_path: Path) -> None:
-    kept = Kept(tmp_path / "configuration")
-    kept.snapshot(5, "a", "b", "c")
-    kept.change(put(customer("d", 2.0), customer("a", 3.0)))
-    kept.change(remove("b"))
-    kept.store.close()
-    store = again(tmp_path / "configuration")
-    assert kept.holds(store)
+def test_changes_and_snapshots_survive_a_restart(tmp_path: Path) -> None:
+    tracked = TrackedStore(tmp_path / "configuration")
+    tracked.snapshot(5, "a", "b", "c")
+    tracked.change(put(customer("d", 2.0), customer("a", 3.0)))
+    tracked.change(remove("b"))
+    tracked.store.close()
+    store = reopen(tmp_path / "configuration")
+    assert tracked.holds(store)
     store.close()
 
 
-def test_versions_may_be_left_out_where_several_changes_were_applied_as_one(tmp_path: Path) -> None:
-    kept = Kept(tmp_path)
-    kept.snapshot(5, "a", "b", "c")
-    kept.position = Position(3, 8)
-    kept.change(put(customer("d", 2.0)))
-    kept.store.close()
-    assert kept.holds(again(tmp_path)) and kept.position.version == 9
+def test_versions_may_be_skipped_when_several_changes_were_merged(tmp_path: Path) -> None:
+    tracked = TrackedStore(tmp_path)
+    tracked.snapshot(5, "a", "b", "c")
+    tracked.position = Position(3, 8)
+    tracked.change(put(customer("d", 2.0)))
+    tracked.store.close()
+    assert tracked.holds(reopen(tmp_path)) and tracked.position.version == 9
 
 
-def test_an_empty_folder_holds_nothing(tmp_path: Path) -> None:
-    found = again(tmp_path / "configuration").load()
+def test_an_empty_folder_has_no_configuration(tmp_path: Path) -> None:
+    found = reopen(tmp_path / "configuration").load()
     assert (found.position, found.entries, found.age, found.fault) == (NO_POSITION, (), None, "")
 
 
 def test_the_log_is_compacted(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(change_log, "MIN_COMPACTED_BYTES", 2000)
-    kept = Kept(tmp_path)
+    tracked = TrackedStore(tmp_path)
     for number in range(500):
-        kept.change(put(customer(f"c{number % 7}", float(number))))
+        tracked.change(put(customer(f"c{number % 7}", float(number))))
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) < 10_000
-    kept.store.close()
-    assert kept.holds(again(tmp_path))
+    tracked.store.close()
+    assert tracked.holds(reopen(tmp_path))
 
 
 @pytest.mark.parametrize("cut", [1, 5, 20, 30])
-def test_a_torn_end_costs_the_last_change_alone(tmp_path: Path, cut: int) -> None:
-    kept = Kept(tmp_path)
-    kept.snapshot(5, "a", "b", "c")
-    kept.change(put(customer("d", 2.0)))
-    whole = dict(kept.sink.by_key)
-    kept.change(remove("a"))
-    kept.store.close()
+def test_a_torn_record_loses_only_the_last_change(tmp_path: Path, cut: int) -> None:
+    tracked = TrackedStore(tmp_path)
+    tracked.snapshot(5, "a", "b", "c")
+    tracked.change(put(customer("d", 2.0)))
+    complete = dict(tracked.sink.by_key)
+    tracked.change(remove("a"))
+    tracked.store.close()
     log = tmp_path / "changes.log"
     log.write_bytes(log.read_bytes()[:-cut])
-    store = again(tmp_path)
+    store = reopen(tmp_path)
     found = store.load()
-    assert found.position.version == 6 and {entry.key: entry for entry in found.entries} == whole
-    kept.position, kept.store, kept.sink.by_key = found.position, store, whole
-    kept.change(put(customer("e", 2.0)))
+    assert found.position.version == 6 and {entry.key: entry for entry in found.entries} == complete
+    tracked.position, tracked.store, tracked.sink.by_key = found.position, store, complete
+    tracked.change(put(customer("e", 2.0)))
     store.close()
-    assert kept.holds(again(tmp_path))
+    assert tracked.holds(reopen(tmp_path))
 
 
-def spoil(path: Path, place: int) -> None:
+def corrupt(path: Path, index: int) -> None:
     data = bytearray(path.read_bytes())
-    data[place] ^= 0x40
+    data[index] ^= 0x40
     path.write_bytes(data)
 
 
-def test_any_spoilt_byte_leaves_a_state_that_was_in_force_or_nothing(tmp_path: Path) -> None:
-    kept = Kept(tmp_path / "whole")
-    kept.snapshot(5, "a", "b", "c")
+def test_any_corrupted_byte_leaves_an_earlier_state_or_nothing(tmp_path: Path) -> None:
+    tracked = TrackedStore(tmp_path / "whole")
+    tracked.snapshot(5, "a", "b", "c")
     for number in range(4):
-        kept.change(put(customer("d", float(number))))
-    kept.store.close()
-    states = [sorted(map(str, state)) for state in kept.sink.history]
+        tracked.change(put(customer("d", float(number))))
+    tracked.store.close()
+    states = [sorted(map(str, state)) for state in tracked.sink.history]
     for name in ("changes.log", "snapshot"):
         data = (tmp_path / "whole" / name).read_bytes()
-        for place in range(0, len(data), 3):
-            folder = tmp_path / f"{name}{place}"
+        for index in range(0, len(data), 3):
+            folder = tmp_path / f"{name}{index}"
             folder.mkdir()
             for file in (tmp_path / "whole").iterdir():
                 (folder / file.name).write_bytes(file.read_bytes())
-            spoil(folder / name, place)
-            store = again(folder)
+            corrupt(folder / name, index)
+            store = reopen(folder)
             found = store.load()
-            assert found.fault or place == 0 or found.position.version == 9, (name, place)
+            assert found.fault or index == 0 or found.position.version == 9, (name, index)
             assert sorted(str(entry.key) for entry in found.entries) in states
-            if found.position == NO_POSITION:  # begins anew, and keeps what comes then
-                fresh = Kept.__new__(Kept)
+            if found.position == NO_POSITION:  # the store starts over and can be used
+                fresh = TrackedStore.__new__(TrackedStore)
                 fresh.store, fresh.sink, fresh.position = store, MemorySink(), Position(3, 20)
                 fresh.change(put(customer("z", 1.0)))
                 store.close()
-                assert fresh.holds(again(folder))
+                assert fresh.holds(reopen(folder))
             else:
                 assert 5 <= found.position.version <= 9
                 store.close()
 
 
-def test_what_a_full_disk_left_out_is_written_with_the_next_change(
+def test_a_change_lost_to_a_full_disk_is_written_with_the_next(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    kept = Kept(tmp_path)
-    kept.snapshot(5, "a", "b", "c")
+    tracked = TrackedStore(tmp_path)
+    tracked.snapshot(5, "a", "b", "c")
 
     def full(log: ChangeLog, record: Record) -> None:
         raise OSError("no room left")
@@ -153,72 +153,72 @@
     with monkeypatch.context() as patched:
         patched.setattr(ChangeLog, "append", full)
         with pytest.raises(OSError, match="no room"):
-            kept.change(remove("a"))
-    kept.change(put(customer("d", 1.0)))
-    kept.store.close()
-    assert kept.holds(again(tmp_path))
+            tracked.change(remove("a"))
+    tracked.change(put(customer("d", 1.0)))
+    tracked.store.close()
+    assert tracked.holds(reopen(tmp_path))
 
 
-def test_what_a_full_disk_left_out_is_written_by_a_retry(
+def test_a_change_lost_to_a_full_disk_is_written_by_a_retry(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    kept = Kept(tmp_path)
+    tracked = TrackedStore(tmp_path)
 
-    def full(*told: object) -> None:
+    def full(*args: object) -> None:
         raise OSError("no room left")
 
     with monkeypatch.context() as patched:
         patched.setattr(ChangeLog, "append", full)
         patched.setattr(ChangeLog, "compact", full)
         with pytest.raises(OSError, match="no room"):
-            kept.change(put(customer("a", 1.0)))
-        assert not kept.store.retry(kept.position, kept.sink.digest, kept.sink.entries)
-    assert kept.store.retry(kept.position, kept.sink.digest, kept.sink.entries)
-    kept.store.close()
-    assert kept.holds(again(tmp_path))
-
-
-def test_the_age_outlives_the_process(tmp_path: Path) -> None:
-    kept = Kept(tmp_path)
-    kept.change(put(customer("a", 1.0)))
-    kept.store.confirm(age=7.0)
-    kept.store.close()
+            tracked.change(put(customer("a", 1.0)))
+        assert not tracked.store.retry(tracked.position, tracked.sink.digest, tracked.sink.entries)
+    assert tracked.store.retry(tracked.position, tracked.sink.digest, tracked.sink.entries)
+    tracked.store.close()
+    assert tracked.holds(reopen(tmp_path))
+
+
+def test_the_age_survives_a_restart(tmp_path: Path) -> None:
+    tracked = TrackedStore(tmp_path)
+    tracked.change(put(customer("a", 1.0)))
+    tracked.store.confirm(age=7.0)
+    tracked.store.close()
     store = ConfigurationStore(tmp_path, wall_clock=lambda: 1050.0)
     assert store.load().age == 57.0
-    set_back = ConfigurationStore(tmp_path, wall_clock=lambda: 900.0)
-    assert set_back.load().age == 0.0
+    earlier_clock = ConfigurationStore(tmp_path, wall_clock=lambda: 900.0)
+    assert earlier_clock.load().age == 0.0
 
 
-def test_a_second_process_reads_and_writes_nothing_until_the_first_has_ended(tmp_path: Path) -> None:
-    kept = Kept(tmp_path)
-    kept.snapshot(5, "a", "b", "c")
-    kept.change(put(customer("d", 2.0)))
+def test_a_second_process_only_reads_until_the_first_has_ended(tmp_path: Path) -> None:
+    tracked = TrackedStore(tmp_path)
+    tracked.snapshot(5, "a", "b", "c")
+    tracked.change(put(customer("d", 2.0)))
     second = ConfigurationStore(tmp_path)
-    assert not second.acquire() and kept.holds(second)
-    # As if the first one were in the middle of writing a record.
+    assert not second.acquire() and tracked.holds(second)
+    # Simulates a record that the first process has written in part.
     log = tmp_path / "changes.log"
-    whole = log.read_bytes()
-    log.write_bytes(whole[:-3])
+    complete = log.read_bytes()
+    log.write_bytes(complete[:-3])
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     assert second.load().position.version == 5
     second.confirm(age=0.0)
     with pytest.raises(OSError, match="not this process's"):
         second.replace_all(Position(3, 9), 0, [])
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
-    log.write_bytes(whole)
-    kept.change(remove("a"))  # the first goes on
-    kept.store.close()
-    assert second.acquire() and kept.holds(second)
-    kept.store = second
-    kept.change(remove("b"))
+    log.write_bytes(complete)
+    tracked.change(remove("a"))  # the first process continues
+    tracked.store.close()
+    assert second.acquire() and tracked.holds(second)
+    tracked.store = second
+    tracked.change(remove("b"))
     second.close()
-    assert kept.holds(again(tmp_path))
+    assert tracked.holds(reopen(tmp_path))
 
 
-def test_a_second_process_that_reads_during_a_compaction_finds_a_whole_state(
+def test_a_second_process_reading_during_a_compaction_finds_a_complete_state(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At each step of the first one's compaction, and where it is killed there."""
+    """Reads at each system call of the first process's compaction, and after a kill there."""
     steps = 0
 
     class KilledError(Exception):
@@ -226,15 +226,15 @@
 
     for stop in range(12):
         folder = tmp_path / str(stop)
-        kept = Kept(folder)
-        kept.snapshot(5, "a", "b", "c")
-        kept.change(put(customer("d", 2.0)))
-        states = [sorted(map(str, state)) for state in kept.sink.history]
-        kept.sink.apply_change(remove("a"))
-        states.append(sorted(map(str, kept.sink.by_key)))
+        tracked = TrackedStore(folder)
+        tracked.snapshot(5, "a", "b", "c")
+        tracked.change(put(customer("d", 2.0)))
+        states = [sorted(map(str, state)) for state in tracked.sink.history]
+        tracked.sink.apply_change(remove("a"))
+        states.append(sorted(map(str, tracked.sink.by_key)))
         calls = 0
 
-        def look(
+        def read_at_stop(
             name: str, folder: Path = folder, stop: int = stop, states: list[list[str]] = states
         ) -> None:
             nonlocal calls, steps
@@ -250,45 +250,47 @@
             for name in ("rename", "open", "pwrite"):
                 call = getattr(os, name)
 
-                def watched(*told: object, call: object = call, name: str = name, **more: object) -> object:
-                    look(name)
-                    return call(*told, **more)  # type: ignore[operator]
+                def observed(
+                    *args: object, call: object = call, name: str = name, **kwargs: object
+                ) -> object:
+                    read_at_stop(name)
+                    return call(*args, **kwargs)  # type: ignore[operator]
 
                 if name == "rename":
-                    patched.setattr(os, name, watched)
+                    patched.setattr(os, name, observed)
                 else:
-                    patched.setattr(f"laureldock.replication.change_log.os.{name}", watched)
+                    patched.setattr(f"laureldock.replication.change_log.os.{name}", observed)
             try:
-                kept.store.replace_all(
-                    Position(3, 7), kept.sink.digest, [encode_entries(kept.sink.entries())]
+                tracked.store.replace_all(
+                    Position(3, 7), tracked.sink.digest, [encode_entries(tracked.sink.entries())]
                 )
             except KilledError:
                 pass
             else:
                 break
-        kept.store.close()
-        found = again(folder).load()
+        tracked.store.close()
+        found = reopen(folder).load()
         assert sorted(str(entry.key) for entry in found.entries) in states
         assert found.position.version in (5, 6, 7)
     assert steps >= 3
 
 
-def test_the_folder_takes_nothing_from_the_room_of_the_spool(tmp_path: Path) -> None:
-    kept = Kept(tmp_path / "configuration")
-    kept.snapshot(5, *(f"name{number}" for number in range(2000)))
-    beside, alone = Spool(tmp_path, 1e5), Spool(tmp_path / "configuration", 1e5)
-    assert beside.unknown_files() == [] and not beside.sharing
+def test_the_folder_does_not_count_towards_the_room_of_the_spool(tmp_path: Path) -> None:
+    tracked = TrackedStore(tmp_path / "configuration")
+    tracked.snapshot(5, *(f"name{number}" for number in range(2000)))
+    parent_spool, folder_spool = Spool(tmp_path, 1e5), Spool(tmp_path / "configuration", 1e5)
+    assert parent_spool.unknown_files() == [] and not parent_spool.sharing
 
     def room(spool: Spool) -> int:
         spool.open()
-        mails = (
+        messages = (
             StoredMessage(b"m%d" % number, None, "news", "", b"", 7, 1e12, b"x" * 100)
             for number in range(999)
         )
-        return sum(spool.take(mail) for mail in mails)
+        return sum(spool.take(message) for message in messages)
 
-    assert 0 < room(beside) == room(alone) < 999
-    beside.close()
-    alone.close()
-    kept.store.close()
-    assert kept.holds(again(tmp_path / "configuration"))
+    assert 0 < room(parent_spool) == room(folder_spool) < 999
+    parent_spool.close()
+    folder_spool.close()
+    tracked.store.close()
+    assert tracked.holds(reopen(tmp_path / "configuration"))
--- a/tests/test_controller_stream.py
+++ b/tests/test_controller_stream.py
@@ -1,4 +1,4 @@
-"""The stream to a controller by a reactor in memory: frames, bad input, defects, what waits its turn."""
+"""The connection to a controller on a memory reactor: frames, invalid input, errors, queued frames."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     aborted = False
 
     def setTcpNoDelay(self, on: bool) -> None:  # noqa: N802
-        """As of TCP."""
+        """Does nothing; a TCP transport has this method."""
 
     def abortConnection(self) -> None:  # noqa: N802
         self.aborted = True
@@ -41,7 +41,7 @@
 
 
 class RefusingSink(MemorySink):
-    """As a catalog refuses, and where told with a defect in the middle."""
+    """Refuses changes like a catalog; with `defect` it raises an error after applying half of a change."""
 
     defect = False
 
@@ -51,8 +51,8 @@
             raise ZeroDivisionError
         try:
             super().apply_change(change)
-        except ValueError as fault:
-            raise RefusedChangeError([Fault(("customer", "x", "quota"), str(fault), "less")]) from None
+        except ValueError as error:
+            raise RefusedChangeError([Fault(("customer", "x", "quota"), str(error), "less")]) from None
 
 
 class Rig:
@@ -61,19 +61,19 @@
         self.protocol: Any = None
         self.controller = MemoryController()
         self.sink = RefusingSink()
-        self.happened: list[SubscriberEvent] = []
+        self.events: list[SubscriberEvent] = []
         self.store = (
             ConfigurationStore(folder, wall_clock=lambda: 1e6 + self.reactor.seconds()) if folder else None
         )
         self.stream = ControllerStream(
-            self.reactor, ("c:1", "d:2"), "d1", 1, self.sink, self.store, self.happened.append
+            self.reactor, ("c:1", "d:2"), "d1", 1, self.sink, self.store, self.events.append
         )
-        self.read = 0  # bytes of what it sent
+        self.read = 0  # bytes of its output that were returned by `sent`
 
     def connect(self) -> Any:
-        """The next connect is answered."""
+        """Wait for the next connection attempt and accept it."""
         count = len(self.reactor.tcpClients)
-        self.after(5.0)
+        self.advance(5.0)
         assert len(self.reactor.tcpClients) > count
         return self.accept()
 
@@ -83,24 +83,24 @@
         self.protocol.makeConnection(self.transport)
         return self.transport
 
-    def after(self, seconds: float) -> None:
-        """In small steps, until a connect is asked for."""
+    def advance(self, seconds: float) -> None:
+        """Advance the clock in small steps until a connection attempt is made."""
         count = len(self.reactor.tcpClients)
         for _ in range(round(seconds / 0.05)):
             self.reactor.advance(0.05)
             if len(self.reactor.tcpClients) > count:
                 return
 
-    def tell(self, *told: Message) -> None:
-        frames = (messages.encode(message) for message in told)
+    def deliver(self, *to_deliver: Message) -> None:
+        frames = (messages.encode(message) for message in to_deliver)
         self.protocol.dataReceived(b"".join(len(frame).to_bytes(4, "big") + frame for frame in frames))
 
-    def turns(self, count: int = 300) -> None:
+    def run_reactor(self, count: int = 300) -> None:
         for _ in range(count):
             self.reactor.advance(0)
 
     def sent(self) -> list[Message]:
-        """Since it was last asked."""
+        """The messages sent since the last call."""
         data = self.transport.value()[self.read :]
         found = []
         while data:
@@ -110,7 +110,7 @@
         return found
 
 
-def following(folder: Path | None = None) -> Rig:
+def synchronized_rig(folder: Path | None = None) -> Rig:
     rig = Rig(folder)
     for number in range(5):
         rig.controller.accept(put(customer(f"c{number}", 1.0)))
@@ -120,20 +120,20 @@
     rig.stream.start()
     rig.connect()
     assert rig.sent() == [Subscribe("d1", NO_POSITION, 0)]
-    rig.tell(*rig.controller.snapshot())
-    rig.turns()
+    rig.deliver(*rig.controller.snapshot())
+    rig.run_reactor()
     assert rig.sent() == [InForce(rig.controller.position, rig.controller.state.digest)]
     return rig
 
 
-def test_a_snapshot_and_changes_go_to_the_sink_and_the_disk(tmp_path: Path) -> None:
-    rig = following(tmp_path)
-    rig.tell(rig.controller.accept(put(customer("c1", 5.0))), rig.controller.accept(remove("c2")))
-    rig.turns()
+def test_a_snapshot_and_changes_are_applied_and_stored(tmp_path: Path) -> None:
+    rig = synchronized_rig(tmp_path)
+    rig.deliver(rig.controller.accept(put(customer("c1", 5.0))), rig.controller.accept(remove("c2")))
+    rig.run_reactor()
     assert rig.sink.by_key == rig.controller.state.by_key
-    told = rig.sent()
-    assert [each.position.version for each in told if isinstance(each, InForce)] == [6, 7]
-    rig.tell(rig.controller.heartbeat())
+    sent_messages = rig.sent()
+    assert [each.position.version for each in sent_messages if isinstance(each, InForce)] == [6, 7]
+    rig.deliver(rig.controller.heartbeat())
     rig.stream.stop()
     assert rig.store
     rig.store.close()
@@ -141,132 +141,132 @@
     assert kept.position == rig.controller.position and kept.age is not None and 8.9 < kept.age < 9.1
 
 
-def test_a_frame_that_is_no_message_ends_the_stream_and_another_controller_is_called() -> None:
+def test_a_malformed_frame_closes_the_connection_and_the_next_controller_is_tried() -> None:
     for bad in (b"\0\0\0\3abc", b"\0\0\0\5lc\x02\x93\x01", b"\0\0\0\0", b"\xff\0\0\0"):
-        rig = following()
+        rig = synchronized_rig()
         rig.protocol.dataReceived(bad)
-        rig.turns()
-        assert rig.transport.aborted and "malformed message" in [each.event for each in rig.happened]
+        rig.run_reactor()
+        assert rig.transport.aborted and "malformed message" in [each.event for each in rig.events]
         before = rig.reactor.tcpClients[-1][:2]
         rig.connect()
         assert rig.sent() == [Subscribe("d1", rig.controller.position, rig.controller.state.digest)]
         assert {before, rig.reactor.tcpClients[-1][:2]} == {("c", 1), ("d", 2)}
 
 
-def test_what_a_lost_stream_still_holds_is_not_read() -> None:
-    rig = following()
+def test_queued_frames_of_a_lost_connection_are_discarded() -> None:
+    rig = synchronized_rig()
     old = rig.protocol
-    rig.tell(*(rig.controller.accept(put(customer("c1", float(number)))) for number in range(9)))
+    rig.deliver(*(rig.controller.accept(put(customer("c1", float(number)))) for number in range(9)))
     old.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
-    rig.turns()
+    rig.run_reactor()
     version = rig.stream.subscriber.position.version
     assert version < 14
     old.dataReceived(b"\0\0\0\3abc")
-    rig.turns()
-    assert not [each for each in rig.happened if each.event == "malformed message"]
+    rig.run_reactor()
+    assert not [each for each in rig.events if each.event == "malformed message"]
     rig.connect()
-    asked = rig.sent()[0]
-    assert isinstance(asked, Subscribe) and asked.position.version == version
+    subscription = rig.sent()[0]
+    assert isinstance(subscription, Subscribe) and subscription.position.version == version
 
 
-def test_many_frames_at_once_are_applied_one_a_turn_and_the_stream_waits() -> None:
-    rig = following()
+def test_many_frames_are_applied_one_per_reactor_iteration_and_reading_is_paused() -> None:
+    rig = synchronized_rig()
     burst = [rig.controller.accept(put(customer("c1", float(number)))) for number in range(200)]
-    rig.tell(*burst)
+    rig.deliver(*burst)
     assert rig.transport.producerState == "paused" and MAX_QUEUED_FRAMES < 200
     seen: list[int] = []
 
-    def something_else() -> None:
+    def other_work() -> None:
         seen.append(rig.stream.subscriber.position.version)
         if seen[-1] < 205:
-            rig.reactor.callLater(0, something_else)
+            rig.reactor.callLater(0, other_work)
 
-    something_else()
-    rig.turns()
+    other_work()
+    rig.run_reactor()
     assert len(seen) >= 199 and all(later - earlier <= 1 for earlier, later in pairwise(seen))
     assert rig.stream.subscriber.position.version == 205 and rig.transport.producerState == "producing"
     assert rig.sink.by_key == rig.controller.state.by_key
 
 
-def test_a_refusal_is_told_with_its_place() -> None:
-    rig = following()
-    rig.sink.barred = lambda entry: entry.name == "bad"
-    rig.tell(rig.controller.accept(put(customer("bad", 1.0))))
-    rig.turns()
-    told = rig.sent()[0]
-    assert isinstance(told, Refused) and told.position.version == 6
-    fault = told.faults[0]
-    assert (fault.path, fault.allowed) == (("customer", "x", "quota"), "less") and "barred" in fault.reason
+def test_a_refusal_is_reported_with_its_path() -> None:
+    rig = synchronized_rig()
+    rig.sink.refuses = lambda entry: entry.name == "bad"
+    rig.deliver(rig.controller.accept(put(customer("bad", 1.0))))
+    rig.run_reactor()
+    refusal = rig.sent()[0]
+    assert isinstance(refusal, Refused) and refusal.position.version == 6
+    fault = refusal.faults[0]
+    assert (fault.path, fault.allowed) == (("customer", "x", "quota"), "less") and "denied" in fault.reason
 
 
-def test_a_defect_ends_one_change_and_a_snapshot_makes_up_for_it() -> None:
-    rig = following()
+def test_an_internal_error_fails_one_change_and_a_snapshot_repairs_it() -> None:
+    rig = synchronized_rig()
     rig.sink.defect = True
-    rig.tell(rig.controller.accept(put(customer("c1", 5.0), customer("c9", 1.0))))
-    rig.turns()
-    told = rig.sent()[0]
-    assert isinstance(told, Refused) and "ZeroDivisionError" in told.faults[0].reason
+    rig.deliver(rig.controller.accept(put(customer("c1", 5.0), customer("c9", 1.0))))
+    rig.run_reactor()
+    refusal = rig.sent()[0]
+    assert isinstance(refusal, Refused) and "ZeroDivisionError" in refusal.faults[0].reason
     rig.sink.defect = False
     for _ in range(4):
-        rig.after(2.0)
-        rig.tell(rig.controller.heartbeat())
+        rig.advance(2.0)
+        rig.deliver(rig.controller.heartbeat())
     assert Subscribe("d1", NO_POSITION, 0) in rig.sent()
-    rig.tell(*rig.controller.snapshot())
-    rig.turns()
+    rig.deliver(*rig.controller.snapshot())
+    rig.run_reactor()
     assert rig.sink.by_key == rig.controller.state.by_key
 
 
-def test_a_connect_that_fails_or_comes_up_too_late_is_made_again() -> None:
+def test_a_connection_that_fails_or_is_established_too_late_is_retried() -> None:
     rig = Rig()
     rig.stream.start()
-    rig.after(1.0)
+    rig.advance(1.0)
     host, _, factory, *_ = rig.reactor.tcpClients[-1]
     connector = rig.reactor.connectors[-1]
     factory.clientConnectionFailed(connector, Failure(ConnectionRefusedError()))  # type: ignore[no-untyped-call]
-    rig.after(1.0)
+    rig.advance(1.0)
     assert len(rig.reactor.tcpClients) == 2 and rig.reactor.tcpClients[-1][0] != host
-    rig.after(3.05)  # nobody answers
+    rig.advance(3.05)  # the connection attempt times out
     assert rig.reactor.connectors[-1].stoppedConnecting
     late = rig.reactor.tcpClients[-1][2].buildProtocol(None)
-    link = transport()
-    late.makeConnection(link)
-    assert link.aborted
+    late_transport = transport()
+    late.makeConnection(late_transport)
+    assert late_transport.aborted
     rig.connect()
     assert isinstance(rig.sent()[0], Subscribe)
     factory.clientConnectionFailed(connector, Failure(ConnectionRefusedError()))  # type: ignore[no-untyped-call]
     assert rig.stream.subscriber.connected
 
 
-def test_after_the_stop_nothing_is_due() -> None:
-    rig = following()
+def test_no_calls_are_pending_after_stop() -> None:
+    rig = synchronized_rig()
     rig.stream.stop()
     assert rig.transport.aborted
     rig.protocol.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
-    rig.turns()
+    rig.run_reactor()
     assert rig.reactor.getDelayedCalls() == []
 
 
 class Core:
-    """What a source asks of the core."""
+    """A stub of the core as sources use it."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig, self.running = rig, True
-        self.told: list[tuple[int, bool]] = []
+        self.updates: list[tuple[int, bool]] = []
 
     def now(self) -> float:
         return float(self.rig.reactor.seconds())
 
-    def later(self, after: float, call: Any, *args: Any) -> Any:
-        return self.rig.reactor.callLater(after, call, *args)
+    def later(self, delay: float, call: Any, *args: Any) -> Any:
+        return self.rig.reactor.callLater(delay, call, *args)
 
     def guard(self, call: Any, *args: Any) -> Any:
         return call(*args)
 
     def news(self, hosts: list[tuple[Entry, str]], whole: bool) -> None:
-        self.told.append((len(hosts), whole))
+        self.updates.append((len(hosts), whole))
 
 
-def controlled(rig: Rig) -> tuple[ControllerSource, Core]:
+def started_source(rig: Rig) -> tuple[ControllerSource, Core]:
     core: Any = Core(rig)
     assert rig.store
     source = ControllerSource(core, rig.stream, rig.store)
@@ -274,44 +274,46 @@
     return source, core
 
 
-def test_a_dispatcher_with_nothing_kept_is_settled_by_the_first_snapshot(tmp_path: Path) -> None:
+def test_without_a_stored_configuration_the_first_change_settles_the_source(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
-    source, core = controlled(rig)
+    source, core = started_source(rig)
     assert not source.settled and "configuration_age_s" not in source.figures()
     rig.connect()
-    assert not source.settled and core.told == []
-    rig.tell(*rig.controller.snapshot(), rig.controller.heartbeat())
-    rig.turns()
-    assert not source.settled and core.told == []  # of a controller that nothing was proposed to yet
+    assert not source.settled and core.updates == []
+    rig.deliver(*rig.controller.snapshot(), rig.controller.heartbeat())
+    rig.run_reactor()
+    assert not source.settled and core.updates == []  # the controller has accepted no change yet
     assert source.figures() == {
         "configuration_version": 0, "configuration_epoch": 7, "configuration_refused": 0,
         "configuration_age_s": 0.0,
     }  # fmt: skip
-    rig.tell(rig.controller.accept(put(customer("first", 1.0))), rig.controller.heartbeat())
-    rig.turns()
-    assert source.settled and core.told == [(0, False)]
+    rig.deliver(rig.controller.accept(put(customer("first", 1.0))), rig.controller.heartbeat())
+    rig.run_reactor()
+    assert source.settled and core.updates == [(0, False)]
     assert source.figures()["configuration_version"] == 1
     source.close()
 
 
-def test_a_dispatcher_goes_on_with_what_it_kept(tmp_path: Path) -> None:
-    old = following(tmp_path)
-    old.tell(old.controller.heartbeat())
-    old.turns()
+def test_the_stored_configuration_is_used_after_a_restart(tmp_path: Path) -> None:
+    old = synchronized_rig(tmp_path)
+    old.deliver(old.controller.heartbeat())
+    old.run_reactor()
     old.stream.stop()
     assert old.store
     old.store.close()
     rig = Rig(tmp_path)
-    source, core = controlled(rig)
-    assert source.settled and core.told and rig.sink.by_key == old.sink.by_key
-    rig.after(30.0)
+    source, core = started_source(rig)
+    assert source.settled and core.updates and rig.sink.by_key == old.sink.by_key
+    rig.advance(30.0)
     figures = source.figures()
     assert figures["configuration_version"] == 5 and figures["configuration_age_s"] >= 0
     source.close()
 
 
-def test_a_kept_configuration_that_the_own_file_no_longer_allows_is_not_half_taken(tmp_path: Path) -> None:
-    old = following(tmp_path)
+def test_a_stored_configuration_refused_by_the_dispatchers_file_is_not_partially_applied(
+    tmp_path: Path,
+) -> None:
+    old = synchronized_rig(tmp_path)
     old.stream.stop()
     assert old.store
     old.store.close()
@@ -321,16 +323,16 @@
         raise RefusedChangeError([Fault(("customer", "c1"), "not allowed here")])
 
     rig.sink.replace_entries = refuse  # type: ignore[method-assign]
-    source, core = controlled(rig)
-    assert not source.settled and core.told == []
-    assert [each.event for each in rig.happened] == ["refused from disk"]
+    source, core = started_source(rig)
+    assert not source.settled and core.updates == []
+    assert [each.event for each in rig.events] == ["refused from disk"]
     rig.connect()
     assert rig.sent() == [Subscribe("d1", NO_POSITION, 0)]
     source.close()
 
 
-def test_a_defect_in_taking_what_was_kept_keeps_no_dispatcher_from_starting(tmp_path: Path) -> None:
-    old = following(tmp_path)
+def test_an_error_applying_the_stored_configuration_does_not_prevent_the_start(tmp_path: Path) -> None:
+    old = synchronized_rig(tmp_path)
     old.stream.stop()
     assert old.store
     old.store.close()
@@ -341,51 +343,51 @@
         raise ZeroDivisionError
 
     rig.sink.replace_entries = fail  # type: ignore[method-assign]
-    source, _ = controlled(rig)
+    source, _ = started_source(rig)
     assert not source.settled
     rig.sink.replace_entries = replace  # type: ignore[method-assign]
     rig.connect()
     assert rig.sent() == [Subscribe("d1", NO_POSITION, 0)]
-    rig.tell(*old.controller.snapshot())
-    rig.turns()
+    rig.deliver(*old.controller.snapshot())
+    rig.run_reactor()
     assert source.settled and rig.sink.by_key == old.sink.by_key
     source.close()
 
 
-def test_a_process_beside_another_serves_what_is_kept_and_follows_once_it_is_alone(tmp_path: Path) -> None:
-    old = following(tmp_path)
+def test_during_a_handover_the_second_process_subscribes_once_the_first_has_ended(tmp_path: Path) -> None:
+    old = synchronized_rig(tmp_path)
     rig = Rig(tmp_path)
-    source, _ = controlled(rig)
+    source, _ = started_source(rig)
     assert source.settled and rig.sink.by_key == old.sink.by_key
-    old.tell(old.controller.accept(put(customer("c1", 77.0))))
-    old.turns()
-    rig.after(5.0)
-    assert rig.reactor.tcpClients == []  # one of them follows
+    old.deliver(old.controller.accept(put(customer("c1", 77.0))))
+    old.run_reactor()
+    rig.advance(5.0)
+    assert rig.reactor.tcpClients == []  # only the other process subscribes
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     old.stream.stop()
     assert old.store
     old.store.close()
     rig.connect()
     assert rig.sink.by_key == old.sink.by_key
-    asked = rig.sent()[0]
-    assert isinstance(asked, Subscribe) and asked.position.version == 6
+    subscription = rig.sent()[0]
+    assert isinstance(subscription, Subscribe) and subscription.position.version == 6
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
     source.close()
 
 
-def test_a_folder_that_cannot_be_written_keeps_no_dispatcher_from_following(tmp_path: Path) -> None:
-    (tmp_path / "taken").write_text("a file")
-    rig = Rig(tmp_path / "taken")
-    source, _ = controlled(rig)
+def test_an_unwritable_folder_does_not_prevent_the_subscription(tmp_path: Path) -> None:
+    (tmp_path / "occupied").write_text("a file")
+    rig = Rig(tmp_path / "occupied")
+    source, _ = started_source(rig)
     rig.connect()
     rig.controller.accept(put(customer("c1", 1.0)))
-    rig.tell(*rig.controller.snapshot())
-    rig.turns()
+    rig.deliver(*rig.controller.snapshot())
+    rig.run_reactor()
     assert source.settled and rig.sink.by_key == rig.controller.state.by_key
     assert not [each for each in rig.sent() if isinstance(each, InForce)]
-    assert {each.event for each in rig.happened} == {"not kept", "spoilt on disk", "controller reached"}
+    assert {each.event for each in rig.events} == {"not kept", "spoilt on disk", "controller reached"}
     source.close()
 
 
-def test_nothing_kept_is_no_position() -> None:
+def test_an_empty_stored_configuration_has_no_position() -> None:
     assert StoredConfiguration().position == NO_POSITION
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -1,4 +1,4 @@
-"""The publisher on a clock set by hand: what goes to whom and when, within the pace; and the token bucket."""
+"""The publisher on a manual clock: what is sent to whom and when, within the pace; and the token bucket."""
 
 from __future__ import annotations
 
@@ -62,19 +62,19 @@
 
 @dataclass
 class History:
-    """A stand-in for the change log; the digest at a version is the version times a hundred."""
+    """A stub of the change log; the digest at a version is the version times a hundred."""
 
     records: list[Record] = field(default_factory=list)
     oldest_version: int = 0
     snapshot_version: int = 0
     parts: list[bytes] = field(default_factory=list)
-    broken: bool = False
+    unreadable: bool = False
 
     def digest_at(self, version: int) -> int | None:
         return version * 100 if self.oldest_version <= version <= len(self.records) else None
 
     def records_after(self, version: int, max_records: int) -> list[Record] | None:
-        if self.broken:
+        if self.unreadable:
             raise OSError("gone")
         return self.records[version : version + max_records] if version >= self.oldest_version else None
 
@@ -107,7 +107,7 @@
         self.closed: list[int] = []
         self.reports: list[Report] = []
 
-    def turn(self) -> None:
+    def poll(self) -> None:
         for effect in self.publisher.poll(self.now):
             match effect:
                 case Send(stream, payload):
@@ -119,17 +119,17 @@
                 case Report():
                     self.reports.append(effect)
 
-    def run(self, seconds: float, beating: tuple[int, ...] = ()) -> None:
-        """Up to then, turn by turn as the publisher asks; `beating` streams send their heartbeats."""
-        end, beat_at = self.now + seconds, self.now
-        self.turn()
-        while (at := min(self.publisher.due_at, beat_at)) <= end:
+    def run(self, seconds: float, heartbeating: tuple[int, ...] = ()) -> None:
+        """Advance the clock, polling when the publisher is due; `heartbeating` streams send heartbeats."""
+        end, heartbeat_at = self.now + seconds, self.now
+        self.poll()
+        while (at := min(self.publisher.due_at, heartbeat_at)) <= end:
             self.now = max(self.now, at)
-            if beat_at <= self.now:
-                beat_at = self.now + HEARTBEAT_INTERVAL
-                for stream in beating:
+            if heartbeat_at <= self.now:
+                heartbeat_at = self.now + HEARTBEAT_INTERVAL
+                for stream in heartbeating:
                     self.publisher.heartbeat(self.now, stream)
-            self.turn()
+            self.poll()
         self.now = end
 
     def subscribe(
@@ -139,21 +139,21 @@
         digest = digest if digest >= 0 else max(0, version * 100)
         name = name or f"d{stream}"
         self.publisher.message_received(self.now, stream, Subscribe(name, position, digest))
-        self.turn()
+        self.poll()
 
     def accept(self, size: int = 50) -> None:
         self.publisher.change_accepted(self.now, self.history.add(size))
-        self.turn()
+        self.poll()
 
-    def told(self, stream: int) -> list[Message]:
+    def received(self, stream: int) -> list[Message]:
         """All but heartbeats."""
         return [each for _, each in self.sent.get(stream, []) if not isinstance(each, Heartbeat)]
 
     def versions(self, stream: int) -> list[int]:
-        return [each.position.version for each in self.told(stream) if isinstance(each, ChangeMessage)]
+        return [each.position.version for each in self.received(stream) if isinstance(each, ChangeMessage)]
 
 
-def test_a_change_is_told_at_once_to_all_that_follow() -> None:
+def test_a_change_is_sent_at_once_to_all_subscribers() -> None:
     world = World(3)
     for stream in range(50):
         world.subscribe(stream, 3)
@@ -167,25 +167,25 @@
     assert not world.closed
 
 
-def test_one_who_is_behind_gets_each_record_once_in_order() -> None:
+def test_a_subscriber_that_is_behind_gets_each_record_once_in_order() -> None:
     world = World(20)
     world.subscribe(1, 4)
     world.accept()
     world.run(5.0, (1,))
-    assert world.versions(1) == list(range(5, 22)) and len(world.told(1)) == 17
+    assert world.versions(1) == list(range(5, 22)) and len(world.received(1)) == 17
 
 
 @pytest.mark.parametrize(
     ("version", "epoch", "digest"),
     [
-        (-1, EPOCH, -1),  # an empty folder
-        (4, EPOCH + 1, -1),  # of another controller's life
-        (4, EPOCH, 3),  # a state that went another way
-        (11, EPOCH, -1),  # of a controller that has lost its newest changes
-        (1, EPOCH, -1),  # compacted away
+        (-1, EPOCH, -1),  # a dispatcher with an empty folder
+        (4, EPOCH + 1, -1),  # another epoch of the controller
+        (4, EPOCH, 3),  # another digest at the same version
+        (11, EPOCH, -1),  # newer than the controller, which has lost its newest changes
+        (1, EPOCH, -1),  # older than the log
     ],
 )
-def test_one_who_cannot_be_led_on_by_records_gets_the_snapshot_and_what_follows(
+def test_a_subscriber_that_cannot_continue_from_records_gets_the_snapshot_and_later_changes(
     version: int, epoch: int, digest: int
 ) -> None:
     world = World(10)
@@ -193,7 +193,7 @@
     world.history.parts = [b"a" * 100, b"b" * 100]
     world.subscribe(1, version, digest, epoch=epoch)
     world.run(1.0)
-    begin, first, second, *rest = world.told(1)
+    begin, first, second, *rest = world.received(1)
     assert begin == SnapshotBegin(Position(EPOCH, 8), 800, 7, 2)
     assert [first, second] == [
         SnapshotPart(0, messages.checksum(b"a" * 100), b"a" * 100),
@@ -205,27 +205,27 @@
 def test_an_empty_state_is_a_snapshot_without_parts() -> None:
     world = World()
     world.subscribe(1)
-    assert world.told(1) == [SnapshotBegin(Position(EPOCH, 0), 0, 7, 0)]
+    assert world.received(1) == [SnapshotBegin(Position(EPOCH, 0), 0, 7, 0)]
     world.accept()
     assert world.versions(1) == [1]
 
 
-def test_a_controller_that_began_empty_takes_nobodys_entries_away_before_it_is_filled() -> None:
+def test_an_empty_controller_removes_no_entries_before_its_first_change() -> None:
     world = World()
     world.subscribe(1, 40, epoch=EPOCH + 1)
     world.run(3.0, (1,))
-    assert world.told(1) == [] and not world.publisher.compaction_wanted
+    assert world.received(1) == [] and not world.publisher.compaction_wanted
     world.accept()
     world.run(3.0, (1,))
-    assert world.told(1) == [] and world.publisher.compaction_wanted
+    assert world.received(1) == [] and world.publisher.compaction_wanted
     world.history.compact([b"filled"])
     world.publisher.compacted(world.now)
     world.accept()
-    assert [type(each) for each in world.told(1)] == [SnapshotBegin, SnapshotPart, ChangeMessage]
+    assert [type(each) for each in world.received(1)] == [SnapshotBegin, SnapshotPart, ChangeMessage]
     assert not world.publisher.compaction_wanted
 
 
-def test_subscribed_again_on_one_stream_it_begins_anew_from_there() -> None:
+def test_a_second_subscription_on_a_stream_restarts_from_its_position() -> None:
     world = World(6)
     world.subscribe(1, 6)
     world.subscribe(1, 4)
@@ -233,31 +233,31 @@
     world.history.parts = [b"x" * 30000] * 5
     world.subscribe(1)
     world.run(1.0)
-    world.subscribe(1, 6)  # in the middle of a snapshot
+    world.subscribe(1, 6)  # while a snapshot is being sent
     world.run(30.0, (1,))
-    parts = [each for each in world.told(1) if isinstance(each, SnapshotPart)]
+    parts = [each for each in world.received(1) if isinstance(each, SnapshotPart)]
     assert 0 < len(parts) < 5
     world.accept()
     assert world.versions(1) == [5, 6, 7]
 
 
-def test_a_snapshot_keeps_to_the_pace_and_heartbeats_go_on() -> None:
+def test_a_snapshot_keeps_to_the_pace_and_heartbeats_continue() -> None:
     world = World(1)
     world.history.compact([b"x" * 16000] * 40)
     world.subscribe(1)
-    began = world.now
-    while len(world.told(1)) < 41:
+    started_at = world.now
+    while len(world.received(1)) < 41:
         world.run(1.0, (1,))
-    took = world.now - began
+    elapsed = world.now - started_at
     total = sum(size for _, size in world.bytes[1])
     assert total > 40 * 16000
-    assert (total - BURST_BYTES) / PACE - 10 <= took <= (total - BURST_BYTES) / PACE + 10
-    beats = [at for at, each in world.sent[1] if isinstance(each, Heartbeat)]
-    assert max(b - a for a, b in pairwise(beats)) <= HEARTBEAT_INTERVAL + 1e-6
+    assert (total - BURST_BYTES) / PACE - 10 <= elapsed <= (total - BURST_BYTES) / PACE + 10
+    heartbeats = [at for at, each in world.sent[1] if isinstance(each, Heartbeat)]
+    assert max(b - a for a, b in pairwise(heartbeats)) <= HEARTBEAT_INTERVAL + 1e-6
     assert not world.closed
 
 
-def test_many_changes_do_not_pass_the_pace_either_and_all_arrive() -> None:
+def test_many_changes_keep_to_the_pace_and_all_arrive() -> None:
     world = World()
     world.subscribe(1, 0)
     for _ in range(300):
@@ -273,7 +273,7 @@
             assert amount <= allowed + 1200
 
 
-def test_a_new_stream_of_one_name_begins_with_no_new_burst() -> None:
+def test_a_new_stream_of_the_same_name_gets_no_new_burst() -> None:
     world = World(1)
     world.history.compact([b"x" * 16000] * 100)
     for stream in range(10):
@@ -284,7 +284,7 @@
     assert total <= BURST_BYTES + PACE * 5 + 17000
 
 
-def test_what_is_too_large_for_one_message_waits_for_a_snapshot() -> None:
+def test_a_change_too_large_for_one_message_waits_for_a_snapshot() -> None:
     world = World(2)
     world.subscribe(1, 2)
     world.subscribe(2, 1)
@@ -296,12 +296,12 @@
     world.publisher.compacted(world.now)
     world.run(3.0, (1, 2))
     for stream in (1, 2):
-        kinds = [type(each) for each in world.told(stream)][-3:]
+        kinds = [type(each) for each in world.received(stream)][-3:]
         assert kinds == [SnapshotBegin, SnapshotPart, ChangeMessage]
         assert world.versions(stream)[-1] == 4
 
 
-def test_a_silent_stream_is_closed_and_its_dispatcher_stays_known() -> None:
+def test_a_silent_stream_is_closed_and_its_dispatcher_stays_in_the_status() -> None:
     world = World(1)
     world.subscribe(1, 1)
     world.subscribe(2, 1)
@@ -312,7 +312,7 @@
     assert [(each.version, each.dispatchers) for each in status.versions] == [(1, 2)]
 
 
-def test_a_paused_stream_gets_nothing_and_afterwards_what_it_missed() -> None:
+def test_a_paused_stream_gets_missed_changes_once_resumed() -> None:
     world = World(1)
     world.subscribe(1, 1)
     world.publisher.stream_paused(1)
@@ -320,22 +320,22 @@
     world.run(3.0, (1,))
     assert world.versions(1) == []
     world.publisher.stream_resumed(world.now, 1)
-    world.turn()
+    world.poll()
     assert world.versions(1) == [2]
     world.publisher.stream_paused(1)
     world.run(SILENCE_LIMIT + 1)
     assert world.closed == [1]
 
 
-@pytest.mark.parametrize("away", [0.5, 2.5, 10.0, 1000.0])
-def test_one_who_was_lost_for_any_time_is_served_again(away: float) -> None:
+@pytest.mark.parametrize("seconds_away", [0.5, 2.5, 10.0, 1000.0])
+def test_a_dispatcher_disconnected_for_any_time_is_served_again(seconds_away: float) -> None:
     world = World(1)
     world.subscribe(1, 1, name="one")
     world.subscribe(2, 1)
     world.run(0.5, (1, 2))
     world.publisher.stream_lost(1)
     world.accept()
-    world.run(away, (2,))
+    world.run(seconds_away, (2,))
     world.subscribe(3, 1, name="one")
     assert world.versions(3) == [2]
     world.accept()
@@ -344,7 +344,7 @@
     assert world.closed == [] and len(world.sent[3]) > 10  # heartbeats
 
 
-def test_the_later_stream_of_one_name_holds() -> None:
+def test_the_later_stream_of_a_name_replaces_the_earlier() -> None:
     world = World(1)
     world.subscribe(1, 1, name="one")
     world.subscribe(2, 1, name="one")
@@ -355,7 +355,7 @@
     ]  # fmt: skip
 
 
-def test_there_is_a_bound_to_followers_and_to_names_that_are_kept() -> None:
+def test_subscribers_and_remembered_names_are_bounded() -> None:
     world = World(max_subscribers=3)
     for stream in range(5):
         world.subscribe(stream, 0)
@@ -368,7 +368,7 @@
     assert len(world.publisher.subscribers) <= 6 and "d0" in world.publisher.subscribers
 
 
-def test_what_no_dispatcher_may_say_costs_its_stream_alone() -> None:
+def test_an_invalid_message_closes_only_its_stream() -> None:
     world = World(2)
     for stream in (1, 2, 3):
         world.subscribe(stream, 2)
@@ -378,9 +378,9 @@
     assert sorted(world.closed) == [1, 2] and world.versions(3) == [3]
 
 
-def test_where_the_history_cannot_be_read_the_one_who_needs_it_is_closed() -> None:
+def test_an_unreadable_history_closes_only_the_stream_that_needs_it() -> None:
     world = World(5)
-    world.history.broken = True
+    world.history.unreadable = True
     world.subscribe(1, 5)
     world.subscribe(2, 3)
     assert world.closed == [2]
@@ -388,7 +388,7 @@
     assert world.versions(1) == [6]
 
 
-def test_status_names_the_slowest_first_with_reasons() -> None:
+def test_status_lists_the_slowest_first_with_refusals() -> None:
     world = World()
     for stream in (1, 2, 3, 4):
         world.subscribe(stream, 0)
@@ -413,56 +413,56 @@
 
 @given(st.integers(0, 1 << 30))
 @settings(max_examples=60, deadline=None)
-def test_whatever_happens_each_is_told_all_in_order_within_the_pace(seed: int) -> None:
-    chance = random.Random(seed)
-    world = World(chance.randrange(4))
+def test_random_events_leave_every_subscriber_with_all_changes_in_order(seed: int) -> None:
+    rng = random.Random(seed)
+    world = World(rng.randrange(4))
     followers: dict[int, Follower] = {}  # by stream
     streams: dict[str, int] = {}
     for number in range(60):
-        world.now += chance.choice((0.0, 0.01, 0.5, 1.5, 4.0))
-        match chance.randrange(7):
+        world.now += rng.choice((0.0, 0.01, 0.5, 1.5, 4.0))
+        match rng.randrange(7):
             case 0 | 1:
-                world.accept(chance.choice((10, 3000, MAX_CHANGE_BYTES + 5)))
+                world.accept(rng.choice((10, 3000, MAX_CHANGE_BYTES + 5)))
             case 2:
-                name = f"n{chance.randrange(3)}"
+                name = f"n{rng.randrange(3)}"
                 known = followers.get(streams.get(name, -1))
-                follower = Follower(known.version if known and chance.random() < 0.7 else -1)
+                follower = Follower(known.version if known and rng.random() < 0.7 else -1)
                 streams[name], followers[number] = number, follower
                 world.subscribe(number, follower.version, name=name)
             case 3:
-                world.history.compact([b"p" * 2000] * chance.randrange(4))
+                world.history.compact([b"p" * 2000] * rng.randrange(4))
                 world.publisher.compacted(world.now)
             case 4 if streams:
-                world.publisher.stream_paused(chance.choice(list(streams.values())))
+                world.publisher.stream_paused(rng.choice(list(streams.values())))
             case 5 if streams:
-                world.publisher.stream_lost(chance.choice(list(streams.values())))
+                world.publisher.stream_lost(rng.choice(list(streams.values())))
             case _:
                 for stream in streams.values():
                     world.publisher.stream_resumed(world.now, stream)
         for stream in streams.values():
             world.publisher.heartbeat(world.now, stream)
-        world.turn()
+        world.poll()
         for stream, follower in followers.items():
-            follower.take(world.sent.pop(stream, []))
+            follower.process(world.sent.pop(stream, []))
     world.history.compact([b"p"])
     world.publisher.compacted(world.now)
-    for place, name in enumerate(streams):  # those that were lost come back, and those that were not
+    for index, name in enumerate(streams):  # all subscribe again, whether disconnected or not
         follower = Follower(followers[streams[name]].version)
-        streams[name], followers[100 + place] = 100 + place, follower
-        world.subscribe(100 + place, follower.version, name=name)
+        streams[name], followers[100 + index] = 100 + index, follower
+        world.subscribe(100 + index, follower.version, name=name)
     world.run(100.0, tuple(streams.values()))
     for stream in streams.values():
-        followers[stream].take(world.sent.pop(stream, []))
+        followers[stream].process(world.sent.pop(stream, []))
         assert followers[stream].version == len(world.history.records)
 
 
 class Follower:
-    """What a dispatcher holds by what it was sent; each change must follow."""
+    """The version of a dispatcher from the messages sent to it; each change must follow on the last."""
 
     def __init__(self, version: int) -> None:
         self.version, self.base, self.parts = version, 0, 0
 
-    def take(self, sent: list[tuple[float, Message]]) -> None:
+    def process(self, sent: list[tuple[float, Message]]) -> None:
         for _, message in sent:
             match message:
                 case SnapshotBegin():
@@ -477,11 +477,11 @@
                     self.version += 1
 
 
-def test_the_bucket_lets_through_no_more_than_it_says() -> None:
+def test_the_bucket_enforces_its_rate_and_burst() -> None:
     bucket, now = TokenBucket(0.0, 100.0, 500.0), 0.0
     assert bucket.level(now) == 500.0
     bucket.take(now, 700)
     assert bucket.level(now) == -200.0 and bucket.ready_at(now) == pytest.approx(2.01)
     assert bucket.level(2.01) > 0 and bucket.ready_at(2.01) == 2.01
     assert bucket.level(1000.0) == 500.0
-    assert bucket.level(900.0) == 500.0  # a clock that steps back gives nothing
+    assert bucket.level(900.0) == 500.0  # a clock that steps back adds nothing
--- a/tests/test_replication_world.py
+++ b/tests/test_replication_world.py
@@ -1,4 +1,4 @@
-"""The way of a change from controller to dispatchers under faults, and that sabotaged copies are caught."""
+"""Replication from controller to dispatchers under faults; the checks detect deliberately broken variants."""
 
 from __future__ import annotations
 
@@ -18,37 +18,37 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_under_faults_only_what_was_accepted_is_in_force_and_all_have_it_in_time(
+def test_under_faults_only_accepted_states_are_in_force_and_all_dispatchers_have_the_newest_in_time(
     tmp_path: Path, seed: int
 ) -> None:
     assert play(World(tmp_path, seed)) == []
 
 
-class ToldBeforeOnDisk(ControllerService):
+class SentBeforeOnDisk(ControllerService):
     def _accept_prepared(self, change: Change, prepared: Any) -> ProposalResult:
         if prepared is not None:
-            here = self.state.position
-            position = Position(here.epoch, here.version + 1)
+            position_before = self.state.position
+            position = Position(position_before.epoch, position_before.version + 1)
             record = Record(position, self.state.catalog.digest, self.wall_clock(), prepared[0])
             self.publisher.change_accepted(self.reactor.seconds(), record)
             self._poll()
         return super()._accept_prepared(change, prepared)
 
 
-class GapNotAskedFor(Subscriber):
+class GapNotRequested(Subscriber):
     def _resubscribe(self, now: float, reason: str) -> None:
-        """Waits for it to come by itself."""
+        """Never requests missing changes."""
 
 
-class GapNotSeen(Subscriber):
+class GapNotDetected(Subscriber):
     def _handle_change(self, now: float, message: ChangeMessage) -> None:
         if message.position.epoch == self._received.epoch:
             self._received = Position(message.position.epoch, message.position.version - 1)
         super()._handle_change(now, message)
 
 
-class HalfApplied(RecordingSink):
-    """Entry by entry, with what was applied left in force where one is refused."""
+class PartiallyApplied(RecordingSink):
+    """Applies entry by entry; if one is refused, the earlier ones stay in force."""
 
     def apply(self, change: Change) -> None:
         for key in change.removals:
@@ -57,24 +57,24 @@
             self.catalog.apply(Change(puts=(entry,)))
 
 
-NEVER_ACCEPTED, NOT_IN_TIME = "in force is what was never accepted", "not in force on all in time"
+NEVER_ACCEPTED, NOT_IN_TIME = "a state in force was never accepted", "not in force everywhere in time"
 
 
 @pytest.mark.parametrize(
-    ("sabotage", "fault"),
+    ("broken_class", "fault"),
     [
-        ({"service_class": ToldBeforeOnDisk}, NEVER_ACCEPTED),
-        ({"subscriber_class": GapNotAskedFor}, NOT_IN_TIME),
-        ({"subscriber_class": GapNotSeen}, NEVER_ACCEPTED),
-        ({"sink_class": HalfApplied}, NEVER_ACCEPTED),
+        ({"service_class": SentBeforeOnDisk}, NEVER_ACCEPTED),
+        ({"subscriber_class": GapNotRequested}, NOT_IN_TIME),
+        ({"subscriber_class": GapNotDetected}, NEVER_ACCEPTED),
+        ({"sink_class": PartiallyApplied}, NEVER_ACCEPTED),
     ],
-    ids=["told before on disk", "gap not asked for", "gap not seen", "half applied"],
+    ids=["sent before on disk", "gap not requested", "gap not detected", "partially applied"],
 )
-def test_each_sabotaged_copy_is_caught(tmp_path: Path, sabotage: dict[str, Any], fault: str) -> None:
-    """By the check above, in the seeds that it plays."""
+def test_each_broken_variant_is_detected(tmp_path: Path, broken_class: dict[str, Any], fault: str) -> None:
+    """At least one of the seeds above reports the fault."""
     found = []
     for seed in SEEDS:
         folder = tmp_path / str(seed)
         folder.mkdir()
-        found += play(World(folder, seed, **sabotage))
+        found += play(World(folder, seed, **broken_class))
     assert any(fault in each for each in found), found
