--- a/tests/controlled.py
+++ b/tests/controlled.py
@@ -1,4 +1,4 @@
-"""A controller as a process, and streams to it that are played by hand."""
+"""A controller process, and test clients that speak its protocol directly."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def puts(*names: str, zone: str = "") -> Change:
-    """Each endpoint is of a destination of its own, lest two share an address."""
+    """Each endpoint has its own destination, since endpoints of one destination must not share an address."""
     return Change(tuple(endpoint(name, f"to-{name}", zone) for name in names))
 
 
@@ -73,7 +73,7 @@
 
 
 class Controller:
-    """`before`: called in the process before it becomes a controller."""
+    """A controller process with its folder."""
 
     def __init__(self, folder: Path, pace: str = "1MB") -> None:
         self.folder, self.port = folder, free_port()
@@ -82,26 +82,27 @@
         self.file.write_text(BASE.format(port=self.port, pace=pace))
         self.process: subprocess.Popen[bytes] | None = None
 
-    def launch(self, before: Callable[[], None] | None = None) -> None:
+    def launch(self, preexec: Callable[[], None] | None = None) -> None:
+        """`preexec` is called in the child process before the program starts."""
         command = [sys.executable, "-m", "laureldock", "controller", str(self.file)]
-        seen = len(self.events("controller ready"))
+        ready_count = len(self.events("controller ready"))
         with (self.folder / "log").open("ab") as log:
-            self.process = subprocess.Popen(command, stdout=log, stderr=log, preexec_fn=before)
-        self.until(lambda: len(self.events("controller ready")) > seen)
-
-    def until(self, met: Callable[[], bool], seconds: float = START_LIMIT) -> None:
-        end = time.monotonic() + seconds
-        while not met():
-            assert self.process and self.process.poll() is None, self.text()
-            assert time.monotonic() < end, self.text()
+            self.process = subprocess.Popen(command, stdout=log, stderr=log, preexec_fn=preexec)
+        self.wait_until(lambda: len(self.events("controller ready")) > ready_count)
+
+    def wait_until(self, condition: Callable[[], bool], seconds: float = START_LIMIT) -> None:
+        deadline = time.monotonic() + seconds
+        while not condition():
+            assert self.process and self.process.poll() is None, self.log_text()
+            assert time.monotonic() < deadline, self.log_text()
             time.sleep(0.02)
 
-    def text(self) -> str:
+    def log_text(self) -> str:
         path = self.folder / "log"
         return path.read_text() if path.exists() else ""
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        lines = [json.loads(line) for line in self.text().splitlines() if line.startswith("{")]
+        lines = [json.loads(line) for line in self.log_text().splitlines() if line.startswith("{")]
         return [each for each in lines if each["event"] == name]
 
     def kill(self) -> None:
@@ -109,16 +110,16 @@
         self.process.kill()
         self.process.wait()
 
-    def end(self) -> int:
+    def terminate(self) -> int:
         assert self.process
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(5)
 
     def propose(self, change: Change, expected_version: int = -1) -> int:
-        """The version that it became."""
-        answer = client.propose(self.address, change, expected_version)
-        assert isinstance(answer, Accepted), answer
-        return answer.position.version
+        """Propose a change that must be accepted; return its version."""
+        response = client.propose(self.address, change, expected_version)
+        assert isinstance(response, Accepted), response
+        return response.position.version
 
     def status(self) -> Status:
         return client.status(self.address)
@@ -126,17 +127,17 @@
 
 @contextmanager
 def controller(folder: Path, pace: str = "1MB") -> Iterator[Controller]:
-    found = Controller(folder, pace)
-    found.launch()
+    server = Controller(folder, pace)
+    server.launch()
     try:
-        yield found
+        yield server
     finally:
-        if found.process and found.process.poll() is None:
-            found.kill()
+        if server.process and server.process.poll() is None:
+            server.kill()
 
 
 class Stream:
-    """One connection to a controller."""
+    """A connection to a controller."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port), 5)
@@ -151,7 +152,7 @@
         self.write(len(payload).to_bytes(4, "big") + payload)
 
     def receive(self) -> Message | None:
-        """None: closed by the other side."""
+        """The next message; None if the other side has closed the connection."""
         try:
             head = self.reader.read(4)
             return messages.decode(self.reader.read(int.from_bytes(head, "big"))) if head else None
@@ -159,10 +160,10 @@
             return None
 
     def is_closed(self, seconds: float) -> bool:
-        """Whether the other side closes it within that time, whatever it sends before."""
+        """Whether the other side closes the connection within that time; data sent before is discarded."""
         self.socket.settimeout(0.2)
-        end = time.monotonic() + seconds
-        while time.monotonic() < end:
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             try:
                 if not self.socket.recv(65536):
                     return True
@@ -178,40 +179,40 @@
 
 
 class Follower(Stream):
-    """A dispatcher, played by hand: what it was told is its state."""
+    """A stub dispatcher that keeps the entries it receives."""
 
     def __init__(self, port: int, name: str, position: Position = NO_POSITION) -> None:
         super().__init__(port)
         self.entries: dict[EntryKey, CatalogEntry] = {}
-        self.digests: dict[EntryKey, tuple[CatalogEntry, int]] = {}  # of entries as they were last summed up
+        self.digests: dict[EntryKey, tuple[CatalogEntry, int]] = {}  # cached digests of entries
         self.position, self.digest = position, 0
-        self.kinds: list[str] = []
+        self.message_types: list[str] = []
         self.send(Subscribe(name, position, 0))
 
     def follow(self, version: int, seconds: float = 8.0) -> None:
-        """Until that version is reached; the digest must be the one that was told with it."""
-        end = time.monotonic() + seconds
+        """Receive until that version is reached, and check the digest at every version."""
+        deadline = time.monotonic() + seconds
         while self.position.version < version:
-            assert time.monotonic() < end, f"{self.position} after {seconds} s"
+            assert time.monotonic() < deadline, f"{self.position} after {seconds} s"
             message = self.receive()
             assert message is not None, "the stream was closed"
-            self.take(message)
+            self.process_message(message)
             self.send(Heartbeat(self.position))
 
-    def take(self, message: Message) -> None:
+    def process_message(self, message: Message) -> None:
         if not isinstance(message, Heartbeat):
-            self.kinds.append(type(message).__name__)
+            self.message_types.append(type(message).__name__)
         match message:
             case SnapshotBegin():
-                self.entries, self.begun = {}, message
+                self.entries, self.snapshot_begin = {}, message
                 if not message.parts:
                     self.reach(message.position, message.digest)
             case SnapshotPart(number, checksum, body):
                 assert messages.checksum(body) == checksum
                 self.entries |= {entry.key: entry for entry in decode_entries(body)}
-                if number == self.begun.parts - 1:
-                    assert len(self.entries) == self.begun.entries
-                    self.reach(self.begun.position, self.begun.digest)
+                if number == self.snapshot_begin.parts - 1:
+                    assert len(self.entries) == self.snapshot_begin.entries
+                    self.reach(self.snapshot_begin.position, self.snapshot_begin.digest)
             case ChangeMessage():
                 assert message.position.version == self.position.version + 1
                 assert messages.checksum(message.body) == message.checksum
@@ -222,10 +223,10 @@
                 self.reach(message.position, message.digest)
 
     def reach(self, position: Position, digest: int) -> None:
-        own = 0
+        computed = 0
         for key, entry in self.entries.items():
             if key not in self.digests or self.digests[key][0] is not entry:
                 self.digests[key] = entry, entry_digest(entry)
-            own ^= self.digests[key][1]
-        assert own == digest
+            computed ^= self.digests[key][1]
+        assert computed == digest
         self.position, self.digest = position, digest
--- a/tests/followers.py
+++ b/tests/followers.py
@@ -1,4 +1,4 @@
-"""Dispatchers that follow a controller, as processes, and a controller in this process that does as told."""
+"""Dispatcher processes that subscribe to a controller, and a stub controller in this process."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Follower(Daemon):
-    """A dispatcher by a file without entries. `controllers`: where they listen, or relays before them."""
+    """A dispatcher whose file has no entries. `controllers`: addresses of controllers or relays to them."""
 
     def __init__(self, folder: Path, name: str, account: Account, controllers: Iterable[str]) -> None:
         folder.mkdir(exist_ok=True)
@@ -55,9 +55,9 @@
     def write_file(self) -> None:
         controllers = ", ".join(f'"{each}"' for each in self.controllers)
         text = HEAD.format(port=self.port).replace('name = "dock"', f'name = "{self.name}"')
-        fresh = self.file.with_suffix(".new")
-        fresh.write_text(text + SOURCE.format(controllers=controllers) + self.extra)
-        fresh.rename(self.file)
+        new_file = self.file.with_suffix(".new")
+        new_file.write_text(text + SOURCE.format(controllers=controllers) + self.extra)
+        new_file.rename(self.file)
 
     @property
     def configuration(self) -> Path:
@@ -67,7 +67,7 @@
         return int((await self.figures()).get("configuration_version", -1))
 
     async def until_version(self, version: int, seconds: float = 15.0) -> float:
-        """How long it took until that version, or a later one, was in force."""
+        """Wait until that version or a later one is in force; return the seconds it took."""
         began = time.monotonic()
         while (seen := await self.version()) < version:
             assert time.monotonic() < began + seconds, f"{self.name} is at {seen}, not {version}"
@@ -89,12 +89,13 @@
 
 
 class Receivers:
-    """Stand-ins of receivers with one account, and the entries that name them."""
+    """Stub receivers with a common account, and the configuration entries for them."""
 
     def __init__(self, names: dict[str, str], pace: float = 0.02, rate: float = 400.0) -> None:
         self.account = Account()
         self.by_name = {
-            name: Receiver(name, owner, self.account, 1, rate, pace) for name, owner in names.items()
+            name: Receiver(name, destination_name, self.account, 1, rate, pace)
+            for name, destination_name in names.items()
         }
 
     async def start(self) -> None:
@@ -106,10 +107,10 @@
             await receiver.stop()
 
     def entry(self, name: str, destination: str = "", **more: Any) -> EndpointEntry:
-        here = self.by_name[name]
-        address = Address(f"127.0.0.1:{here.port}")
-        owner = destination or str(here.destination)
-        value = plan.Endpoint(name=name, destination=owner, address=address, **more)
+        receiver = self.by_name[name]
+        address = Address(f"127.0.0.1:{receiver.port}")
+        destination_name = destination or str(receiver.destination)
+        value = plan.Endpoint(name=name, destination=destination_name, address=address, **more)
         return EndpointEntry(name, value)
 
     def puts(self, *names: str) -> Change:
@@ -120,14 +121,14 @@
     return Change(removals=tuple(EntryKey(EntryKind.ENDPOINT, name) for name in names))
 
 
-class StandInController:
-    """Speaks to dispatchers as a controller does; what it sends can be spoilt by `wire`."""
+class StubController:
+    """A stub controller for dispatchers; `wire` can modify or drop the messages that it sends."""
 
     def __init__(self) -> None:
         self.state = MemoryController()
         self.port = free_port()
         self.streams: dict[str, asyncio.StreamWriter] = {}
-        self.heard: list[tuple[str, Message]] = []
+        self.received: list[tuple[str, Message]] = []
         self.wire: Any = lambda name, message: [message]
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -138,8 +139,8 @@
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
-        beats = asyncio.create_task(self.beat())
-        self.tasks.add(beats)
+        heartbeat_task = asyncio.create_task(self.send_heartbeats())
+        self.tasks.add(heartbeat_task)
 
     async def stop(self) -> None:
         for task in list(self.tasks):
@@ -152,7 +153,7 @@
             writer.transport.abort()
         self.streams.clear()
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(2.0)
             for name in list(self.streams):
@@ -170,7 +171,7 @@
                 if isinstance(message, Subscribe):
                     name = message.dispatcher
                     self.streams[name] = writer
-                self.heard.append((name, message))
+                self.received.append((name, message))
                 if isinstance(message, Subscribe):
                     for each in self.state.respond(message):
                         self.send(name, each)
@@ -189,38 +190,40 @@
             self.streams[name].write(len(data).to_bytes(4, "big") + data)
 
     def accept(self, change: Change, body: bytes | None = None) -> int:
-        """The version that it leads to."""
+        """Accept and send a change; return its version."""
         message = self.state.accept(change, body)
         for name in list(self.streams):
             self.send(name, message)
         return self.state.position.version
 
     def versions(self, name: str) -> list[int]:
-        """That a dispatcher told in force."""
+        """The versions that a dispatcher has acknowledged."""
         return [
-            each.position.version for who, each in self.heard if who == name and isinstance(each, InForce)
+            each.position.version
+            for sender, each in self.received
+            if sender == name and isinstance(each, InForce)
         ]
 
     def refusals(self, name: str) -> list[Refused]:
-        return [each for who, each in self.heard if who == name and isinstance(each, Refused)]
+        return [each for sender, each in self.received if sender == name and isinstance(each, Refused)]
 
 
 @contextlib.asynccontextmanager
 async def followers(
     folder: Path, names: dict[str, str], controllers: Iterable[str], count: int = 1, pace: float = 0.02
 ) -> AsyncIterator[tuple[Receivers, list[Follower]]]:
-    """Receivers and dispatchers that are not started yet; all end with the block."""
+    """Receivers, and dispatchers that are not started yet; all are stopped at the end of the block."""
     receivers = Receivers(names, pace)
     await receivers.start()
     addresses = [*controllers]
-    here = [
-        Follower(folder / f"d{place}", f"d{place}", receivers.account, addresses)
-        for place in range(1, count + 1)
+    dispatchers = [
+        Follower(folder / f"d{number}", f"d{number}", receivers.account, addresses)
+        for number in range(1, count + 1)
     ]
     try:
-        yield receivers, here
+        yield receivers, dispatchers
     finally:
-        for each in here:
+        for each in dispatchers:
             await each.client.aclose()
             await each.end()
         await receivers.stop()
@@ -229,15 +232,15 @@
 @contextlib.asynccontextmanager
 async def one_follower(
     folder: Path, names: dict[str, str], pace: float = 0.02
-) -> AsyncIterator[tuple[StandInController, Receivers, Follower]]:
-    """A dispatcher that has all receivers as version 1 from a stand-in controller."""
-    controller = StandInController()
-    async with followers(folder, names, [controller.address], pace=pace) as (receivers, [here]):
+) -> AsyncIterator[tuple[StubController, Receivers, Follower]]:
+    """A dispatcher that has received all receivers as version 1 from a stub controller."""
+    controller = StubController()
+    async with followers(folder, names, [controller.address], pace=pace) as (receivers, [dispatcher]):
         controller.state.accept(receivers.puts())
         await controller.start()
-        await here.launch()
-        await here.until_version(1)
-        yield controller, receivers, here
+        await dispatcher.launch()
+        await dispatcher.until_version(1)
+        yield controller, receivers, dispatcher
         await controller.stop()
 
 
@@ -262,7 +265,7 @@
 
 
 class ControllerProcess:
-    """`laureldock controller`; or one that kills itself where `crashing_controller` is told to."""
+    """A `laureldock controller` process, or one that kills itself at a point of `crashing_controller`."""
 
     def __init__(self, folder: Path, extra: str = "", pace: str = "4kB") -> None:
         folder.mkdir(exist_ok=True)
@@ -276,12 +279,12 @@
         return f"127.0.0.1:{self.port}"
 
     async def launch(self, *crash: str) -> None:
-        here = Path(__file__).parent
-        program = [str(here / "crashing_controller.py"), *crash] if crash else ["-m", "laureldock"]
+        tests = Path(__file__).parent
+        program = [str(tests / "crashing_controller.py"), *crash] if crash else ["-m", "laureldock"]
         command = [sys.executable, *program, "controller", str(self.file)]
         with (self.folder / "log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                *command, stdout=log, stderr=log, cwd=here.parent, env={**os.environ, "PYTHONPATH": "."}
+                *command, stdout=log, stderr=log, cwd=tests.parent, env={**os.environ, "PYTHONPATH": "."}
             )
         async with asyncio.timeout(20):
             while True:
@@ -302,38 +305,43 @@
             writer.transport.abort()
 
     async def status(self) -> Status:
-        answer = await self.ask(StatusRequest())
-        assert isinstance(answer, Status)
-        return answer
+        response = await self.ask(StatusRequest())
+        assert isinstance(response, Status)
+        return response
 
     async def accept(self, change: Change) -> int:
-        """The version that it leads to. RejectedError; EOFError or OSError where it died meanwhile."""
-        answer = await self.ask(Propose(encode_change(change), True))
-        if not isinstance(answer, Accepted):
-            raise RejectedError(answer)
-        return answer.position.version
+        """Propose a change; return its version.
+
+        Raises RejectedError; EOFError or OSError if the controller ended meanwhile.
+        """
+        response = await self.ask(Propose(encode_change(change), True))
+        if not isinstance(response, Accepted):
+            raise RejectedError(response)
+        return response.position.version
 
     def versions_subscribed(self, name: str) -> list[tuple[int, bool]]:
-        """With which version a dispatcher came, and whether it was to get a snapshot."""
+        """The version of each subscription of a dispatcher, and whether a snapshot was to be sent."""
         lines = map(json.loads, (self.folder / "log").read_text().splitlines())
-        mine = (line for line in lines if line.get("dispatcher") == name)
+        own_lines = (line for line in lines if line.get("dispatcher") == name)
         return [
-            (line["version"], line["snapshot"]) for line in mine if line["event"] == "dispatcher subscribed"
+            (line["version"], line["snapshot"])
+            for line in own_lines
+            if line["event"] == "dispatcher subscribed"
         ]
 
     async def in_force(self, dispatchers: int, seconds: float = 15.0) -> float:
-        """How long it took until all of them told the newest version in force."""
+        """Wait until all dispatchers have acknowledged the newest version; return the seconds it took."""
         began = time.monotonic()
         while True:
             status = await self.status()
-            level = [each for each in status.versions if each.version == status.position.version]
-            if level and level[0].dispatchers >= dispatchers:
+            newest = [each for each in status.versions if each.version == status.position.version]
+            if newest and newest[0].dispatchers >= dispatchers:
                 return time.monotonic() - began
             assert time.monotonic() < began + seconds, status
             await asyncio.sleep(0.05)
 
     async def ended(self) -> None:
-        """It has killed itself."""
+        """Wait until it has killed itself."""
         assert self.process
         async with asyncio.timeout(10):
             await self.process.wait()
@@ -345,7 +353,7 @@
 
 
 class CuttableRelay:
-    """A relay before a controller. Cut as a pulled cable does it: nothing passes, nothing is refused."""
+    """A TCP relay to a controller. While `cut`, like an unplugged cable, it forwards and refuses nothing."""
 
     def __init__(self, to: int) -> None:
         self.to, self.port = to, free_port()
@@ -372,28 +380,28 @@
         assert task
         self.tasks.add(task)
         with contextlib.suppress(OSError, EOFError, asyncio.CancelledError, ExceptionGroup):
-            await self.pass_on(reader, writer)
+            await self.forward(reader, writer)
         writer.transport.abort()
         self.tasks.discard(task)
 
-    async def pass_on(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Until either end closes."""
-        await self.open()
-        far_reader, far_writer = await asyncio.open_connection("127.0.0.1", self.to)
+    async def forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Forward data until either end closes."""
+        await self.wait_until_open()
+        upstream_reader, upstream_writer = await asyncio.open_connection("127.0.0.1", self.to)
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self.pump(reader, far_writer))
-                group.create_task(self.pump(far_reader, writer))
+                group.create_task(self.copy(reader, upstream_writer))
+                group.create_task(self.copy(upstream_reader, writer))
         finally:
-            far_writer.transport.abort()
+            upstream_writer.transport.abort()
 
-    async def open(self) -> None:
+    async def wait_until_open(self) -> None:
         while self.cut:
             await asyncio.sleep(0.02)
 
-    async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(65536):
-            await self.open()
+            await self.wait_until_open()
             writer.write(data)
             await writer.drain()
         raise EOFError
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""A controller as a process: what it accepts outlives it and is carried, what it refuses is told."""
+"""A controller process: accepted changes are stored and distributed, refused ones are reported."""
 
 from __future__ import annotations
 
@@ -40,160 +40,162 @@
 from laureldock.setup.reading import load
 
 
-def test_changes_are_carried_in_order_to_all_and_digests_are_equal(tmp_path: Path) -> None:
-    with controller(tmp_path) as found:
-        early = [Follower(found.port, f"d{number}") for number in range(3)]
-        assert found.propose(puts("a1", "a2", "a3")) == 1
-        assert found.propose(removal("a2")) == 2
-        late = Follower(found.port, "late")
-        assert found.propose(puts("b1", "a1", zone="z")) == 3
+def test_changes_reach_all_dispatchers_in_order_with_equal_digests(tmp_path: Path) -> None:
+    with controller(tmp_path) as server:
+        early = [Follower(server.port, f"d{number}") for number in range(3)]
+        assert server.propose(puts("a1", "a2", "a3")) == 1
+        assert server.propose(removal("a2")) == 2
+        late = Follower(server.port, "late")
+        assert server.propose(puts("b1", "a1", zone="z")) == 3
         for follower in (*early, late):
             follower.follow(3)
-        assert found.propose(puts("a1", zone="z")) == 3  # as it is already
-        status = found.status()
+        assert server.propose(puts("a1", zone="z")) == 3  # no difference
+        status = server.status()
         assert {each.digest for each in (*early, late)} == {status.digest}
         assert status.position == late.position and status.entries == 3 == len(late.entries)
         for follower in (*early, late):
             follower.send(InForce(follower.position, follower.digest))
-        found.until(lambda: found.status().versions == (VersionCount(3, 4),))
-        assert found.status().slowest == ()
+        server.wait_until(lambda: server.status().versions == (VersionCount(3, 4),))
+        assert server.status().slowest == ()
 
 
-def test_a_restart_with_the_same_folder_goes_on_where_it_was(tmp_path: Path) -> None:
-    with controller(tmp_path) as found:
+def test_a_restart_with_the_same_folder_continues_at_the_same_version(tmp_path: Path) -> None:
+    with controller(tmp_path) as server:
         for number in range(5):
-            found.propose(puts(f"a{number}"))
-        before = found.status()
-        follower = Follower(found.port, "d")
+            server.propose(puts(f"a{number}"))
+        before = server.status()
+        follower = Follower(server.port, "d")
         follower.follow(5)
-        assert found.end() == 0
-        assert found.events("controller stopped")[0]["version"] == 5
-        found.launch()
-        after = found.status()
+        assert server.terminate() == 0
+        assert server.events("controller stopped")[0]["version"] == 5
+        server.launch()
+        after = server.status()
         assert (after.position, after.digest, after.entries) == (before.position, before.digest, 5)
-        again = Stream(found.port)
+        again = Stream(server.port)
         again.send(Subscribe("d", follower.position, follower.digest))
-        assert found.propose(puts("b1")) == 6
-        told = [again.receive(), again.receive()]
-        kinds = {type(each).__name__ for each in told}
-        assert kinds == {"Heartbeat", "ChangeMessage"}  # and no snapshot
-
-
-def test_one_command_at_a_time_and_a_race_is_refused(tmp_path: Path) -> None:
-    with controller(tmp_path) as found:
-        assert found.propose(puts("a1"), expected_version=0) == 1
-        answer = client.propose(found.address, puts("a2"), expected_version=0)
-        assert isinstance(answer, Rejected) and "version 1 is the newest, not 0" in answer.faults[0].reason
-        answers: list[Accepted | Rejected] = []
+        assert server.propose(puts("b1")) == 6
+        received = [again.receive(), again.receive()]
+        message_types = {type(each).__name__ for each in received}
+        assert message_types == {"Heartbeat", "ChangeMessage"}  # without a snapshot
+
+
+def test_of_concurrent_changes_with_one_expected_version_one_is_accepted(tmp_path: Path) -> None:
+    with controller(tmp_path) as server:
+        assert server.propose(puts("a1"), expected_version=0) == 1
+        response = client.propose(server.address, puts("a2"), expected_version=0)
+        assert (
+            isinstance(response, Rejected) and "version 1 is the newest, not 0" in response.faults[0].reason
+        )
+        responses: list[Accepted | Rejected] = []
 
-        def racer(number: int) -> None:
-            answers.append(client.propose(found.address, puts(f"r{number}"), expected_version=1))
+        def propose_racing(number: int) -> None:
+            responses.append(client.propose(server.address, puts(f"r{number}"), expected_version=1))
 
-        racers = [threading.Thread(target=racer, args=(number,)) for number in range(8)]
-        for each in racers:
+        threads = [threading.Thread(target=propose_racing, args=(number,)) for number in range(8)]
+        for each in threads:
             each.start()
-        for each in racers:
+        for each in threads:
             each.join(8)
-        assert len(answers) == 8 and sum(isinstance(each, Accepted) for each in answers) == 1
-        assert found.status().position.version == 2
+        assert len(responses) == 8 and sum(isinstance(each, Accepted) for each in responses) == 1
+        assert server.status().position.version == 2
 
 
 def test_a_change_is_refused_as_a_whole_with_all_its_faults(tmp_path: Path) -> None:
-    with controller(tmp_path) as found:
-        found.propose(puts("a1"))
-        before = found.status()
+    with controller(tmp_path) as server:
+        server.propose(puts("a1"))
+        before = server.status()
         change = Change((endpoint("good", "south"),), removal(*(f"no{n}" for n in range(1500))).removals)
-        answer = client.propose(found.address, change)
-        assert isinstance(answer, Rejected) and answer.count == 1500 and len(answer.faults) == 1000
-        assert answer.faults[7].path == ("endpoint", "no7") and "no such entry" in answer.faults[7].reason
-        assert found.status().digest == before.digest
-        assert found.propose(puts("a2")) == 2
+        response = client.propose(server.address, change)
+        assert isinstance(response, Rejected) and response.count == 1500 and len(response.faults) == 1000
+        assert response.faults[7].path == ("endpoint", "no7") and "no such entry" in response.faults[7].reason
+        assert server.status().digest == before.digest
+        assert server.propose(puts("a2")) == 2
 
 
-def test_a_large_fill_and_a_large_change_come_as_snapshots(tmp_path: Path) -> None:
-    with controller(tmp_path) as found:
-        follower = Follower(found.port, "d")
-        assert found.propose(puts(*(f"a{number}" for number in range(4000)))) == 1
+def test_a_large_change_is_distributed_as_a_snapshot(tmp_path: Path) -> None:
+    with controller(tmp_path) as server:
+        follower = Follower(server.port, "d")
+        assert server.propose(puts(*(f"a{number}" for number in range(4000)))) == 1
         follower.follow(1)
-        assert follower.kinds.count("SnapshotBegin") == 2  # the empty one, and that
-        assert "ChangeMessage" not in follower.kinds and len(follower.entries) == 4000
-        assert found.propose(puts("b1")) == 2
+        assert follower.message_types.count("SnapshotBegin") == 2  # the empty one, and the filled one
+        assert "ChangeMessage" not in follower.message_types and len(follower.entries) == 4000
+        assert server.propose(puts("b1")) == 2
         follower.follow(2)
-        assert follower.kinds[-1] == "ChangeMessage" and follower.digest == found.status().digest
-        found.kill()
-        found.launch()
-        assert found.status().entries == 4001
+        assert follower.message_types[-1] == "ChangeMessage" and follower.digest == server.status().digest
+        server.kill()
+        server.launch()
+        assert server.status().entries == 4001
 
 
-def test_the_log_is_compacted_while_changes_go_on(tmp_path: Path) -> None:
-    with controller(tmp_path) as found:
-        follower = Follower(found.port, "d")
+def test_the_log_is_compacted_while_changes_are_accepted(tmp_path: Path) -> None:
+    with controller(tmp_path) as server:
+        follower = Follower(server.port, "d")
         follower.follow(0)
         version = 0
-        while not found.events("snapshot written"):
+        while not server.events("snapshot written"):
             names = (f"a{number}" for number in range(400))
-            version = found.propose(puts(*names, zone=f"z{version}"))
+            version = server.propose(puts(*names, zone=f"z{version}"))
             assert version < 60
-        log_bytes = (found.state / LOG_NAME).stat().st_size
+        log_bytes = (server.state / LOG_NAME).stat().st_size
         assert log_bytes < 200_000 and version >= 20  # of some 36,000 bytes each
         follower.follow(version)
-        assert follower.kinds.count("SnapshotBegin") == 1
-        found.kill()
-        found.launch()
-        assert found.status().position.version == version and found.status().digest == follower.digest
+        assert follower.message_types.count("SnapshotBegin") == 1
+        server.kill()
+        server.launch()
+        assert server.status().position.version == version and server.status().digest == follower.digest
 
 
-def test_a_controller_with_a_new_folder_takes_nobodys_entries_away_before_it_is_filled(
+def test_a_controller_with_a_new_folder_removes_no_entries_before_its_first_change(
     tmp_path: Path,
 ) -> None:
-    with controller(tmp_path) as found:
-        before = Follower(found.port, "d", Position(5, 40))
+    with controller(tmp_path) as server:
+        before = Follower(server.port, "d", Position(5, 40))
         time.sleep(0.5)
-        assert before.kinds == [] and found.propose(puts("a1")) == 1
+        assert before.message_types == [] and server.propose(puts("a1")) == 1
         before.position = NO_POSITION
         before.follow(1)
-        assert before.kinds == ["SnapshotBegin", "SnapshotPart"] and len(before.entries) == 1
-        assert found.propose(puts("a2")) == 2
+        assert before.message_types == ["SnapshotBegin", "SnapshotPart"] and len(before.entries) == 1
+        assert server.propose(puts("a2")) == 2
         before.follow(2)
 
 
-# Nothing accepted is lost
+# Crashes and disk errors
 
 
-def test_killed_at_any_moment_nothing_accepted_or_told_is_lost(tmp_path: Path) -> None:
-    """The log says what was accepted; a dispatcher never holds a version that a restart does not know."""
-    chance, end = random.Random(7), time.monotonic() + 5.0
-    found = Controller(tmp_path)
+def test_a_kill_at_any_time_loses_no_accepted_or_distributed_change(tmp_path: Path) -> None:
+    """The log has all accepted changes, and a dispatcher never has a version that a restart does not have."""
+    rng, deadline = random.Random(7), time.monotonic() + 5.0
+    server = Controller(tmp_path)
     accepted = kills = 0
-    while kills < 8 and time.monotonic() < end:
-        found.launch()
-        told: list[int] = []
+    while kills < 8 and time.monotonic() < deadline:
+        server.launch()
+        received_versions: list[int] = []
 
-        def follow(into: list[int] = told) -> None:
+        def follow(into: list[int] = received_versions) -> None:
             with contextlib.suppress(OSError, AssertionError):
-                follower = Follower(found.port, "d")
+                follower = Follower(server.port, "d")
                 while (message := follower.receive()) is not None:
-                    follower.take(message)
+                    follower.process_message(message)
                     into.append(follower.position.version)
 
         def change(start: int = kills * 10000) -> None:
             nonlocal accepted
             with contextlib.suppress(client.UnreachableError):
                 for number in range(start, start + 10000):
-                    accepted = found.propose(puts(f"a{number}"))
+                    accepted = server.propose(puts(f"a{number}"))
 
         threads = [threading.Thread(target=follow), threading.Thread(target=change)]
         for each in threads:
             each.start()
-        time.sleep(chance.uniform(0.05, 0.3))
-        found.kill()
+        time.sleep(rng.uniform(0.05, 0.3))
+        server.kill()
         for each in threads:
             each.join(5)
-        log = ChangeLog(found.state, durable=True)
+        log = ChangeLog(server.state, durable=True)
         records = [each for each in log.load() if isinstance(each, Record)]
         log.close()
         newest = records[-1].position.version if records else log.position.version
-        assert max([accepted, *told]) <= newest <= accepted + 1
+        assert max([accepted, *received_versions]) <= newest <= accepted + 1
         accepted = newest
         kills += 1
     assert kills >= 2 and accepted > kills
@@ -201,16 +203,16 @@
 
 @pytest.fixture
 def state(tmp_path: Path) -> AcceptedState:
-    return reopened(tmp_path)
+    return reopen_state(tmp_path)
 
 
-def reopened(folder: Path) -> AcceptedState:
+def reopen_state(folder: Path) -> AcceptedState:
     file = folder / "controller.toml"
     file.write_text(BASE.format(port=7, pace="1kB"))
-    found = AcceptedState(load(str(file)).plan, folder / "state")
-    for _ in found.load(new_epoch=9):
+    state = AcceptedState(load(str(file)).plan, folder / "state")
+    for _ in state.load(new_epoch=9):
         pass
-    return found
+    return state
 
 
 def accept(state: AcceptedState, change: Change) -> Record:
@@ -219,7 +221,7 @@
     return state.commit(*prepared, accepted_at=1.0)
 
 
-def test_ended_between_the_disk_and_the_word_a_change_is_accepted(
+def test_a_crash_after_the_write_and_before_the_reply_keeps_the_change(
     state: AcceptedState, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     class Killed(BaseException):
@@ -235,22 +237,22 @@
     with pytest.raises(Killed):
         accept(state, puts("a2"))
     state.log.close()
-    again = reopened(tmp_path)
+    again = reopen_state(tmp_path)
     assert again.position == Position(9, 2) and len(again.catalog) == 2
     assert again.digest == again.catalog.digest
 
 
 @pytest.mark.parametrize("call", ["pwrite", "fdatasync"])
-def test_where_the_disk_takes_nothing_a_change_is_refused_and_undone(
+def test_a_disk_error_refuses_and_undoes_a_change(
     state: AcceptedState, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
-    def full(*_: object) -> int:
+    def fail(*_: object) -> int:
         raise OSError(errno.ENOSPC, "No space left on device")
 
     accept(state, puts("a1", "a2"))
     before = list(state.catalog.entries())
     with monkeypatch.context() as patch:
-        patch.setattr(os, call, full)
+        patch.setattr(os, call, fail)
         prepared = state.prepare(Change(puts("a1", "b1", zone="z").puts, removal("a2").removals))
         assert prepared is not None
         with pytest.raises(OSError, match="No space"):
@@ -258,7 +260,7 @@
     assert list(state.catalog.entries()) == before and state.catalog.digest == state.digest
     assert accept(state, puts("b2")).position == Position(9, 2)
     state.log.close()
-    again = reopened(tmp_path)
+    again = reopen_state(tmp_path)
     assert again.position.version == 2 and {each.name for each in again.catalog.entries()} == {
         "a1",
         "a2",
@@ -266,56 +268,56 @@
     }
 
 
-def test_changes_that_wait_for_another_are_bounded(tmp_path: Path) -> None:
+def test_waiting_changes_are_bounded(tmp_path: Path) -> None:
     file = tmp_path / "controller.toml"
     file.write_text(BASE.format(port=7, pace="1kB"))
     reactor = MemoryReactorClock()  # type: ignore[no-untyped-call]
     service = ControllerService(load(str(file)).plan, tmp_path / "state", reactor)
     service.start()
-    answers: list[Accepted | Rejected] = []
-    service._lock.acquire()  # as a long check holds it
+    responses: list[Accepted | Rejected] = []
+    service._lock.acquire()  # simulates a long validation
     for number in range(MAX_WAITING_CHANGES + 5):
-        service.propose(puts(f"a{number}"), -1).addCallback(answers.append)
-    assert [answer.faults[0].reason for answer in answers if isinstance(answer, Rejected)] == [
+        service.propose(puts(f"a{number}"), -1).addCallback(responses.append)
+    assert [response.faults[0].reason for response in responses if isinstance(response, Rejected)] == [
         "too many changes wait"
     ] * 5
     service._lock.release()
-    accepted = sorted(answer.position.version for answer in answers if isinstance(answer, Accepted))
+    accepted = sorted(response.position.version for response in responses if isinstance(response, Accepted))
     assert accepted == list(range(1, MAX_WAITING_CHANGES + 1))
     service.state.log.close()
 
 
-def test_a_process_whose_disk_is_full_refuses_and_goes_on(tmp_path: Path) -> None:
-    def little_room() -> None:  # no file may become longer
+def test_with_a_full_disk_a_change_is_refused_and_later_ones_are_accepted(tmp_path: Path) -> None:
+    def limit_file_size() -> None:  # simulates a full disk
         resource.setrlimit(resource.RLIMIT_FSIZE, (6000, 6000))
 
-    found = Controller(tmp_path)
-    command = [sys.executable, "-m", "laureldock", "controller", str(found.file)]
-    process = subprocess.Popen(command, stdout=subprocess.PIPE, preexec_fn=little_room)
+    server = Controller(tmp_path)
+    command = [sys.executable, "-m", "laureldock", "controller", str(server.file)]
+    process = subprocess.Popen(command, stdout=subprocess.PIPE, preexec_fn=limit_file_size)
     assert process.stdout
     try:
         assert b"controller ready" in process.stdout.readline()
-        assert found.propose(puts("a1")) == 1
-        answer = client.propose(found.address, puts(*(f"b{number}" for number in range(200))))
-        assert isinstance(answer, Rejected) and "log cannot be written" in answer.faults[0].reason
-        assert found.propose(puts("a2")) == 2
-        assert found.status().entries == 2
+        assert server.propose(puts("a1")) == 1
+        response = client.propose(server.address, puts(*(f"b{number}" for number in range(200))))
+        assert isinstance(response, Rejected) and "log cannot be written" in response.faults[0].reason
+        assert server.propose(puts("a2")) == 2
+        assert server.status().entries == 2
     finally:
         process.kill()
         process.communicate()
-    found.launch()
-    assert found.status().position.version == 2
-    found.kill()
+    server.launch()
+    assert server.status().position.version == 2
+    server.kill()
 
 
-def test_a_folder_that_is_spoilt_or_in_use_is_refused_at_the_start(tmp_path: Path) -> None:
-    with controller(tmp_path) as found:
+def test_a_corrupted_or_locked_folder_is_refused_at_startup(tmp_path: Path) -> None:
+    with controller(tmp_path) as server:
         for number in range(4):
-            found.propose(puts(f"a{number}"))
-        command = [sys.executable, "-m", "laureldock", "controller", str(found.file)]
+            server.propose(puts(f"a{number}"))
+        command = [sys.executable, "-m", "laureldock", "controller", str(server.file)]
         second = subprocess.run(command, capture_output=True, text=True, timeout=9)
         assert second.returncode == 1 and "another process holds the folder" in second.stderr
-    path = found.state / LOG_NAME
+    path = server.state / LOG_NAME
     data = bytearray(path.read_bytes())
     data[len(data) // 2] ^= 1
     path.write_bytes(data)
@@ -324,129 +326,129 @@
     assert f"{path}: byte " in third.stderr and "wrong checksum" in third.stderr
 
 
-def test_an_address_that_is_taken_is_told_at_the_start(tmp_path: Path) -> None:
-    found = Controller(tmp_path)
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", found.port))
-        taken.listen()
-        command = [sys.executable, "-m", "laureldock", "controller", str(found.file)]
-        ended = subprocess.run(command, capture_output=True, text=True, timeout=9)
-    assert ended.returncode == 1 and "cannot start: CannotListenError" in ended.stderr
+def test_an_address_in_use_is_reported_at_startup(tmp_path: Path) -> None:
+    server = Controller(tmp_path)
+    with socket.socket() as occupied:
+        occupied.bind(("127.0.0.1", server.port))
+        occupied.listen()
+        command = [sys.executable, "-m", "laureldock", "controller", str(server.file)]
+        result = subprocess.run(command, capture_output=True, text=True, timeout=9)
+    assert result.returncode == 1 and "cannot start: CannotListenError" in result.stderr
 
 
-def test_what_was_accepted_must_fit_the_file_of_the_next_start(tmp_path: Path) -> None:
-    with controller(tmp_path) as found:
+def test_accepted_entries_must_fit_the_file_at_the_next_start(tmp_path: Path) -> None:
+    with controller(tmp_path) as server:
         shop = DestinationEntry("south", Destination(kind="shop"))
-        found.propose(Change((endpoint("a1", "south"), shop)))
-        assert found.end() == 0
-    found.file.write_text(found.file.read_text().replace("[kind.shop]", ""))
-    command = [sys.executable, "-m", "laureldock", "controller", str(found.file)]
-    ended = subprocess.run(command, capture_output=True, text=True, timeout=9)
-    assert ended.returncode == 2
-    assert "does not fit this file any more" in ended.stderr and "destination.south.kind" in ended.stderr
-
-
-def test_counters_are_logged_at_a_signal_and_it_ends_in_order_under_load(tmp_path: Path) -> None:
-    with controller(tmp_path) as found:
-        followers = [Follower(found.port, f"d{number}") for number in range(5)]
-        found.propose(puts("a1"))
-        assert found.process
-        found.process.send_signal(signal.SIGUSR1)
-        found.until(lambda: bool(found.events("counters")))
-        counters = found.events("counters")[0]
+        server.propose(Change((endpoint("a1", "south"), shop)))
+        assert server.terminate() == 0
+    server.file.write_text(server.file.read_text().replace("[kind.shop]", ""))
+    command = [sys.executable, "-m", "laureldock", "controller", str(server.file)]
+    result = subprocess.run(command, capture_output=True, text=True, timeout=9)
+    assert result.returncode == 2
+    assert "does not fit this file any more" in result.stderr and "destination.south.kind" in result.stderr
+
+
+def test_a_signal_logs_the_counters_and_shutdown_is_graceful_under_load(tmp_path: Path) -> None:
+    with controller(tmp_path) as server:
+        followers = [Follower(server.port, f"d{number}") for number in range(5)]
+        server.propose(puts("a1"))
+        assert server.process
+        server.process.send_signal(signal.SIGUSR1)
+        server.wait_until(lambda: bool(server.events("counters")))
+        counters = server.events("counters")[0]
         assert counters["changes accepted"] == 1 and counters["dispatchers"] == 5
-        found.propose(puts(*(f"b{number}" for number in range(3000))))  # a snapshot is being written
-        assert found.end() == 0
-        assert not (found.state / "snapshot.new").exists()
+        server.propose(puts(*(f"b{number}" for number in range(3000))))  # a snapshot is being written
+        assert server.terminate() == 0
+        assert not (server.state / "snapshot.new").exists()
         assert all(each.is_closed(2.0) for each in followers)
-        found.launch()
-        assert found.status().position.version == 2
+        server.launch()
+        assert server.status().position.version == 2
 
 
 # Operators' commands
 
 
-def run(*words: str) -> Result:
-    return CliRunner().invoke(main, ["config", *words])
+def run(*arguments: str) -> Result:
+    return CliRunner().invoke(main, ["config", *arguments])
 
 
 def test_apply_and_status_by_the_command_line(tmp_path: Path) -> None:
     changes = tmp_path / "changes.toml"
-    with controller(tmp_path) as found:
-        follower = Follower(found.port, "dock-7")
+    with controller(tmp_path) as server:
+        follower = Follower(server.port, "dock-7")
         endpoint = '[[endpoint]]\nname = "{}"\ndestination = "north"\naddress = "127.0.0.1:{}"\n'
         changes.write_text(endpoint.format("a", 9001) + endpoint.format("b", 9002))
-        result = run("apply", str(changes), found.address)
+        result = run("apply", str(changes), server.address)
         assert (result.exit_code, result.output) == (0, "version 1\n")
         changes.write_text('remove = ["endpoint.b"]\n[class.news]\ntime_out = "2s"\n')
-        result = run("apply", str(changes), found.address, "--expect", "1", "--json")
-        told = json.loads(result.output)
-        assert result.exit_code == 0 and told["ok"] and told["version"] == 2
-        assert told["digest"] == found.status().digest
+        result = run("apply", str(changes), server.address, "--expect", "1", "--json")
+        output = json.loads(result.output)
+        assert result.exit_code == 0 and output["ok"] and output["version"] == 2
+        assert output["digest"] == server.status().digest
         follower.follow(2)
         follower.send(InForce(follower.position, follower.digest))
-        found.until(lambda: found.status().versions == (VersionCount(2, 1),))
-        told = json.loads(run("status", found.address, "--json").output)
-        assert told["versions"] == {"2": 1} and told["entries"] == 2 and told["slowest"] == []
+        server.wait_until(lambda: server.status().versions == (VersionCount(2, 1),))
+        output = json.loads(run("status", server.address, "--json").output)
+        assert output["versions"] == {"2": 1} and output["entries"] == 2 and output["slowest"] == []
         follower.close()
-        found.until(lambda: found.status().slowest != ())
-        lines = run("status", found.address).output.splitlines()
+        server.wait_until(lambda: server.status().slowest != ())
+        lines = run("status", server.address).output.splitlines()
         assert lines[0].startswith("version 2, accepted ") and "2 entries, digest " in lines[0]
         assert lines[1:3] == ["1 dispatchers", "  1 with version 2 in force"]
         assert lines[4].startswith("  dock-7: version 2, behind for 0.0 s, not connected, last heard ")
 
 
-def test_what_is_refused_is_told_with_file_line_and_reason(tmp_path: Path) -> None:
+def test_refusals_are_reported_with_file_line_and_reason(tmp_path: Path) -> None:
     changes = tmp_path / "changes.toml"
-    with controller(tmp_path) as found:
-        found.propose(puts("a1"))
+    with controller(tmp_path) as server:
+        server.propose(puts("a1"))
         changes.write_text(
             '[[terms]]\nclass = "news"\nroute = "gone"\ntime_out = "2s"\n[customer.x]\nquota = 1.0\n'
         )
-        result = run("apply", str(changes), found.address)
+        result = run("apply", str(changes), server.address)
         assert result.exit_code == 2
         first, count = result.stderr.splitlines()
         assert first.startswith(f"{changes}:3: terms.class=news,route=gone.route: unknown ")
         assert count == "1 faults"
-        told = json.loads(run("apply", str(changes), found.address, "--json").output)
-        assert not told["ok"] and told["faults"][0]["line"] == 3
+        output = json.loads(run("apply", str(changes), server.address, "--json").output)
+        assert not output["ok"] and output["faults"][0]["line"] == 3
         changes.write_text('remove = ["endpoint.a1"]\n')
-        result = run("apply", str(changes), found.address, "--expect", "0")
+        result = run("apply", str(changes), server.address, "--expect", "0")
         assert result.exit_code == 2 and "version 1 is the newest, not 0" in result.stderr
         changes.write_text("nonsense = 1\n")
-        result = run("apply", str(changes), found.address)
+        result = run("apply", str(changes), server.address)
         assert result.exit_code == 2 and "nonsense: unknown setting" in result.stderr
-        assert found.status().position.version == 1
+        assert server.status().position.version == 1
 
 
-def test_a_change_with_a_thousand_faults_has_each_told_with_its_line(tmp_path: Path) -> None:
+def test_a_change_with_a_thousand_faults_reports_each_with_its_line(tmp_path: Path) -> None:
     changes = tmp_path / "changes.toml"
     keys = [f"endpoint.no{number}" for number in range(1000)]
     changes.write_text("remove = [\n" + "".join(f'  "{key}",\n' for key in keys) + "]\n")
-    with controller(tmp_path) as found:
-        result = run("apply", str(changes), found.address)
+    with controller(tmp_path) as server:
+        result = run("apply", str(changes), server.address)
         assert result.exit_code == 2
         lines = result.stderr.splitlines()
         assert len(lines) == 1001 and lines[-1] == "1000 faults"
-        for place, line in enumerate(lines[:1000]):
-            assert line == f"{changes}:{place + 2}: {keys[place]}: cannot be removed: there is no such entry"
+        for index, line in enumerate(lines[:1000]):
+            assert line == f"{changes}:{index + 2}: {keys[index]}: cannot be removed: there is no such entry"
         changes.write_text("remove = [\n" + "".join(f'  "{key}x",\n  "{key}",\n' for key in keys) + "]\n")
-        lines = run("apply", str(changes), found.address).stderr.splitlines()
+        lines = run("apply", str(changes), server.address).stderr.splitlines()
         assert lines[1000:] == ["and 1000 more", "2000 faults"]
 
 
-def test_where_no_controller_answers_the_exit_code_is_one(tmp_path: Path) -> None:
+def test_without_a_response_the_exit_code_is_one(tmp_path: Path) -> None:
     changes = tmp_path / "changes.toml"
     changes.write_text('remove = ["endpoint.a"]\n')
-    with socket.socket() as taken:  # bound, and nothing listens there
-        taken.bind(("127.0.0.1", 0))
-        address = f"127.0.0.1:{taken.getsockname()[1]}"
-        for words in (("apply", str(changes), address), ("status", address)):
-            result = run(*words)
+    with socket.socket() as occupied:  # bound but not listening
+        occupied.bind(("127.0.0.1", 0))
+        address = f"127.0.0.1:{occupied.getsockname()[1]}"
+        for arguments in (("apply", str(changes), address), ("status", address)):
+            result = run(*arguments)
             assert result.exit_code == 1 and "no answer from" in result.stderr
 
 
-def test_a_file_without_the_table_is_no_controllers(tmp_path: Path) -> None:
+def test_a_file_without_the_controller_table_is_refused(tmp_path: Path) -> None:
     file = tmp_path / "laureldock.toml"
     text = BASE.format(port=7, pace="1kB").partition("[class.news]")[2]
     file.write_text('[source]\nkind = "controller"\ncontrollers = ["127.0.0.1:7"]\n[class.news]' + text)
