--- a/laureldock/replication/catalog_sink.py
+++ b/laureldock/replication/catalog_sink.py
@@ -10,7 +10,7 @@
 
 
 class CatalogSink:
-    """A `ConfigurationSink` (`replication.subscriber`) without a dispatcher behind it."""
+    """A `ConfigurationSink` (`replication.subscriber`) without a dispatcher."""
 
     def __init__(self, base: Plan) -> None:
         self.catalog = Catalog(base)
--- a/laureldock/replication/parts.py
+++ b/laureldock/replication/parts.py
@@ -7,9 +7,8 @@
 
 from laureldock.setup.changes import CatalogEntry, encode_entries
 
-SNAPSHOT_PART_BYTES = (
-    16 << 10
-)  # of encoded entries, unless one entry is larger; the default pace sends it in 4 s
+# Bytes of encoded entries, unless one entry is larger; sent in 4 s at the default pace.
+SNAPSHOT_PART_BYTES = 16 << 10
 
 Item = TypeVar("Item")
 
--- a/laureldock/replication/publisher.py
+++ b/laureldock/replication/publisher.py
@@ -310,6 +310,7 @@
         return self._wakeups[0][0] if self._wakeups else inf
 
     def poll(self, now: float) -> list[Effect]:
+        """Serve the subscribers that are due, and return all effects since the last call."""
         while self._wakeups and self._wakeups[0][0] <= now:
             due_at, _, subscriber = heappop(self._wakeups)
             if due_at != subscriber.due_at:
@@ -427,6 +428,7 @@
     # Status for operators
 
     def status(self, now: float, entries: int, accepted_seconds_ago: float) -> Status:
+        """The versions in force at the subscribers, and the slowest of these."""
         statuses = [self._status_of(now, each) for each in self.subscribers.values()]
         statuses.sort(key=lambda each: (-each.behind_seconds, each.position, each.dispatcher))
         counts = Counter(self._version_of(each) for each in statuses)
--- a/laureldock/replication/subscriber.py
+++ b/laureldock/replication/subscriber.py
@@ -218,6 +218,7 @@
             self._subscribe(now)
 
     def stop(self) -> None:
+        """Disconnect, and do not connect again."""
         self._connection_state, self._connect_at = ConnectionState.DISCONNECTED, inf
         self._effects.append(Disconnect())
 
@@ -247,6 +248,7 @@
         self._drop_connection(now, reason)
 
     def message_received(self, now: float, message: Message) -> None:
+        """Handle a message of the controller; ignored without a connection."""
         if self._connection_state is not ConnectionState.CONNECTED:
             return
         self._last_received_at = now
@@ -264,6 +266,7 @@
                 self.protocol_error(now, f"{type(message).__name__} is not a controller's message")
 
     def poll(self, now: float) -> list[Effect]:
+        """Run the timers that are due, and return all effects since the last call."""
         if now >= self.due_at:
             self._handle_timeout(now)
         effects, self._effects = self._effects, []
@@ -407,18 +410,16 @@
             return
         self._note_progress(now)
         if not newer and not self._inconsistent and self._snapshot_needed:
-            self._snapshot_needed = (
-                False  # an old snapshot: the changes after it may make the refused one applicable
-            )
+            # An old snapshot: the changes after it may make the refused one applicable.
+            self._snapshot_needed = False
             return
         self._snapshot = IncomingSnapshot(begin)
         self._finish_snapshot(now)
 
     def _handle_snapshot_part(self, now: float, part: SnapshotPart) -> None:
         snapshot = self._snapshot
-        if (
-            snapshot is None
-        ):  # the snapshot was ignored; if its begin message was lost, a heartbeat reveals it
+        if snapshot is None:
+            # The snapshot was ignored, or its begin message was lost, which the next heartbeats reveal.
             return
         try:
             outcome = snapshot.add(part)
@@ -446,9 +447,8 @@
         begin = snapshot.begin
         if not snapshot.matches:
             self._report("snapshot spoilt", {"version": begin.position.version}, serious=True)
-            self._snapshot_needed = self._awaiting_response = (
-                True  # only after a timeout, so that a permanently corrupted one costs little
-            )
+            # Requested only after a timeout, so that a permanently corrupted snapshot costs little.
+            self._snapshot_needed = self._awaiting_response = True
             return
         entries, parts = tuple(snapshot.entries), tuple(snapshot.parts)
         self._request_apply(ReplaceEntries(begin.position, begin.digest, entries, parts))
@@ -473,9 +473,8 @@
         if digest != effect.digest:
             self._report("digest differs", {"version": effect.position.version}, serious=True)
             self.mark_inconsistent()
-            self._awaiting_response = isinstance(
-                effect, ReplaceEntries
-            )  # after a snapshot, only after a timeout
+            # After a snapshot, the next one is requested only after a timeout.
+            self._awaiting_response = isinstance(effect, ReplaceEntries)
             self._request_snapshot(now, "digest differs")
             return
         self._response_timeout, self._snapshot_retry = MIN_RESPONSE_TIMEOUT, MIN_SNAPSHOT_RETRY
--- a/tests/controlled.py
+++ b/tests/controlled.py
@@ -55,7 +55,7 @@
 lifetime = "30s"
 [kind.shop]
 """
-START_LIMIT = 9.0  # seconds
+START_TIMEOUT = 9.0  # seconds
 
 
 def endpoint(name: str, destination: str = "north", zone: str = "") -> EndpointEntry:
@@ -90,7 +90,7 @@
             self.process = subprocess.Popen(command, stdout=log, stderr=log, preexec_fn=preexec)
         self.wait_until(lambda: len(self.events("controller ready")) > ready_count)
 
-    def wait_until(self, condition: Callable[[], bool], seconds: float = START_LIMIT) -> None:
+    def wait_until(self, condition: Callable[[], bool], seconds: float = START_TIMEOUT) -> None:
         deadline = time.monotonic() + seconds
         while not condition():
             assert self.process and self.process.poll() is None, self.log_text()
--- a/tests/replication_world.py
+++ b/tests/replication_world.py
@@ -78,7 +78,7 @@
 
     def __init__(self, world: World, name: str, from_controller: bool) -> None:
         self.world, self.name, self.from_controller = world, name, from_controller
-        self.peer: ConnectionEnd
+        self.other_end: ConnectionEnd
         self.protocol: Any = None
         self.open = True
         self.socket = self
@@ -106,9 +106,9 @@
         while self.in_flight:
             frame = self.in_flight.popleft()
             if frame is None:
-                self.peer.closed()
-            elif self.peer.open:
-                self.peer.protocol.dataReceived(frame)
+                self.other_end.closed()
+            elif self.other_end.open:
+                self.other_end.protocol.dataReceived(frame)
 
     def closed(self) -> None:
         if self.open:
@@ -247,7 +247,7 @@
             factory.clientConnectionFailed(connector, Failure(ConnectionRefusedError()))  # type: ignore[no-untyped-call]
             return
         down, up = ConnectionEnd(self, name, True), ConnectionEnd(self, name, False)
-        down.peer, up.peer = up, down
+        down.other_end, up.other_end = up, down
         down.protocol = self.service.server.buildProtocol(None)
         up.protocol = factory.buildProtocol(None)
         self.ends = [end for end in self.ends if end.open] + [down, up]
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -198,25 +198,25 @@
 
 @pytest.mark.usefixtures("without_fsync")
 def test_truncation_at_any_byte_keeps_the_complete_records(tmp_path: Path) -> None:
-    create_log(tmp_path / "whole", 3)
-    data = (tmp_path / "whole" / LOG_NAME).read_bytes()
+    create_log(tmp_path / "complete", 3)
+    data = (tmp_path / "complete" / LOG_NAME).read_bytes()
     ends = [LOG_HEADER.size]  # offsets of the ends of the records
-    log, _ = open_log(tmp_path / "whole")
+    log, _ = open_log(tmp_path / "complete")
     for record in log.records_after(4) or []:
         ends.append(ends[-1] + len(change_log.encode_record(record)))
     log.close()
     assert ends[-1] == len(data)
     for size in range(LOG_HEADER.size, len(data)):
         folder = tmp_path / "cut"
-        shutil.copytree(tmp_path / "whole", folder)
+        shutil.copytree(tmp_path / "complete", folder)
         (folder / LOG_NAME).write_bytes(data[:size])
         log, state = open_log(folder)
-        whole = sum(end <= size for end in ends) - 1
-        assert log.position.version == 4 + whole and log.torn_bytes == size - ends[whole], size
+        complete = sum(end <= size for end in ends) - 1
+        assert log.position.version == 4 + complete and log.torn_bytes == size - ends[complete], size
         append(log, state)
         log.close()
         log, _ = open_log(folder)
-        assert log.position.version == 5 + whole and log.torn_bytes == 0
+        assert log.position.version == 5 + complete and log.torn_bytes == 0
         log.close()
         shutil.rmtree(folder)
 
@@ -224,10 +224,10 @@
 @pytest.mark.usefixtures("without_fsync")
 @pytest.mark.parametrize("name", [LOG_NAME, SNAPSHOT_NAME])
 def test_any_flipped_bit_is_reported_with_its_offset_and_never_read(tmp_path: Path, name: str) -> None:
-    create_log(tmp_path / "whole", 3)
-    data = (tmp_path / "whole" / name).read_bytes()
+    create_log(tmp_path / "complete", 3)
+    data = (tmp_path / "complete" / name).read_bytes()
     folder = tmp_path / "corrupted"
-    shutil.copytree(tmp_path / "whole", folder)
+    shutil.copytree(tmp_path / "complete", folder)
     for index in range(len(data)):
         corrupted = bytearray(data)
         corrupted[index] ^= 1 << (index % 8)
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -112,18 +112,18 @@
 
 
 def test_any_corrupted_byte_leaves_an_earlier_state_or_nothing(tmp_path: Path) -> None:
-    tracked = TrackedStore(tmp_path / "whole")
+    tracked = TrackedStore(tmp_path / "complete")
     tracked.snapshot(5, "a", "b", "c")
     for number in range(4):
         tracked.change(put(customer("d", float(number))))
     tracked.store.close()
     states = [sorted(map(str, state)) for state in tracked.sink.history]
     for name in ("changes.log", "snapshot"):
-        data = (tmp_path / "whole" / name).read_bytes()
+        data = (tmp_path / "complete" / name).read_bytes()
         for index in range(0, len(data), 3):
             folder = tmp_path / f"{name}{index}"
             folder.mkdir()
-            for file in (tmp_path / "whole").iterdir():
+            for file in (tmp_path / "complete").iterdir():
                 (folder / file.name).write_bytes(file.read_bytes())
             corrupt(folder / name, index)
             store = reopen(folder)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -382,14 +382,14 @@
         assert (result.exit_code, result.output) == (0, "version 1\n")
         changes.write_text('remove = ["endpoint.b"]\n[class.news]\ntime_out = "2s"\n')
         result = run("apply", str(changes), server.address, "--expect", "1", "--json")
-        output = json.loads(result.output)
-        assert result.exit_code == 0 and output["ok"] and output["version"] == 2
-        assert output["digest"] == server.status().digest
+        printed = json.loads(result.output)
+        assert result.exit_code == 0 and printed["ok"] and printed["version"] == 2
+        assert printed["digest"] == server.status().digest
         follower.follow(2)
         follower.send(InForce(follower.position, follower.digest))
         server.wait_until(lambda: server.status().versions == (VersionCount(2, 1),))
-        output = json.loads(run("status", server.address, "--json").output)
-        assert output["versions"] == {"2": 1} and output["entries"] == 2 and output["slowest"] == []
+        printed = json.loads(run("status", server.address, "--json").output)
+        assert printed["versions"] == {"2": 1} and printed["entries"] == 2 and printed["slowest"] == []
         follower.close()
         server.wait_until(lambda: server.status().slowest != ())
         lines = run("status", server.address).output.splitlines()
@@ -410,8 +410,8 @@
         first, count = result.stderr.splitlines()
         assert first.startswith(f"{changes}:3: terms.class=news,route=gone.route: unknown ")
         assert count == "1 faults"
-        output = json.loads(run("apply", str(changes), server.address, "--json").output)
-        assert not output["ok"] and output["faults"][0]["line"] == 3
+        printed = json.loads(run("apply", str(changes), server.address, "--json").output)
+        assert not printed["ok"] and printed["faults"][0]["line"] == 3
         changes.write_text('remove = ["endpoint.a1"]\n')
         result = run("apply", str(changes), server.address, "--expect", "0")
         assert result.exit_code == 2 and "version 1 is the newest, not 0" in result.stderr
--- a/tests/test_controller_stream.py
+++ b/tests/test_controller_stream.py
@@ -137,8 +137,8 @@
     rig.stream.stop()
     assert rig.store
     rig.store.close()
-    kept = ConfigurationStore(tmp_path, wall_clock=lambda: 1e6 + rig.reactor.seconds() + 9.0).load()
-    assert kept.position == rig.controller.position and kept.age is not None and 8.9 < kept.age < 9.1
+    stored = ConfigurationStore(tmp_path, wall_clock=lambda: 1e6 + rig.reactor.seconds() + 9.0).load()
+    assert stored.position == rig.controller.position and stored.age is not None and 8.9 < stored.age < 9.1
 
 
 def test_a_malformed_frame_closes_the_connection_and_the_next_controller_is_tried() -> None:
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -296,8 +296,8 @@
     world.publisher.compacted(world.now)
     world.run(3.0, (1, 2))
     for stream in (1, 2):
-        kinds = [type(each) for each in world.received(stream)][-3:]
-        assert kinds == [SnapshotBegin, SnapshotPart, ChangeMessage]
+        message_types = [type(each) for each in world.received(stream)][-3:]
+        assert message_types == [SnapshotBegin, SnapshotPart, ChangeMessage]
         assert world.versions(stream)[-1] == 4
 
 
