--- a/laureldock/interface.py
+++ b/laureldock/interface.py
@@ -119,19 +119,22 @@
     must_fetch_list: bool  # the list comes only when it is asked for
     list_is_local: bool  # fetching it costs nothing
     has_notices: bool  # a deferred or bounced message is finished only once its notice is acknowledged
-    over_quota: float  # importance of a message above its customer's quota, from 0 to 1
+    over_quota: float  # what a message above its customer's quota is worth, from 0 to 1
     max_retry_after: float  # the longest pause that a client is advised
     key_cooldown_time: float  # pause of an ordering key after a call that may still run
     start_capacity: float  # fraction of its capacity that a receiver has when it comes back cold
-    tip_multiple: float  # sent so many times the capacity that it has then, a cold receiver fails again ...
-    fall_time: float  # ... when that lasts for so long
+    # A cold receiver fails again when it is sent this many times its present capacity for `fall_time`.
+    tip_multiple: float
+    fall_time: float
     warm_time: float  # until a cold receiver has its full capacity
     listed_rates: str  # how far the rates of the list can be trusted: "nominal", "rough" or "off"
     connect_timeout: float = 0.0  # a connection that is not up within it counts as none; 0: no limit
     idle_time: float = inf  # for which a receiver keeps an idle connection
     drain_grace: float = 0.0  # for which an attempt that is being opened may still go to a draining route
     handshake_cost: float = 0.0  # of a new connection, in messages of importance 1
-    zone_fees: dict[str, float] = field(default_factory=dict)  # of each message by its route's zone, likewise
+    zone_fees: dict[str, float] = field(
+        default_factory=dict
+    )  # for each message, by its route's zone; likewise
 
 
 @dataclass(frozen=True, slots=True)
