--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -168,9 +168,13 @@
     simulation.run(simulation.now + 12)
     view, cut = simulation.hosts["d0"].view, simulation.hosts["d1"].view
     assert view and cut
-    reach = view.reachability_fractions(simulation.now)
-    assert reach["s2"]["d0"] == 1.0 and all(share <= 0.2 for share in reach.get("s1", {}).values())
-    assert all(share == 0.0 for share in cut.reachability_fractions(simulation.now).get("s0", {}).values())
+    fractions = view.reachability_fractions(simulation.now)
+    assert fractions["s2"]["d0"] == 1.0 and all(
+        fraction <= 0.2 for fraction in fractions.get("s1", {}).values()
+    )
+    assert all(
+        fraction == 0.0 for fraction in cut.reachability_fractions(simulation.now).get("s0", {}).values()
+    )
 
 
 # Malformed and forged input
