--- a/benchmarks/change_cost.py
+++ b/benchmarks/change_cost.py
@@ -29,7 +29,7 @@
 import structlog
 from twisted.internet.testing import MemoryReactorClock
 
-from laureldock.assembly import Assembly, Prepared
+from laureldock.assembly import Assembly, PreparedReload
 from laureldock.setup.changes import (
     Change,
     DestinationEntry,
@@ -68,8 +68,8 @@
         plan = msgspec.convert(BASE, Plan, dec_hook=decode)
         self.assembly = Assembly(plan, folder, self.reactor, print)  # type: ignore[arg-type]
         self.assembly.core.log = structlog.wrap_logger(None, processors=[drop_event])
-        assert self.assembly.listed is not None
-        self.assembly.listed.start()
+        assert self.assembly.listed_source is not None
+        self.assembly.listed_source.start()
         self.assembly.replace_entries(endpoint(number) for number in range(size))
         self.turn()
 
@@ -112,14 +112,14 @@
 
     def reload(self) -> float:
         """Full reload with one address changed. Reading and validating the file is not included."""
-        assert self.assembly.catalog is not None and self.assembly.listed is not None
+        assert self.assembly.catalog is not None and self.assembly.listed_source is not None
         catalog, number = self.assembly.catalog, self.destination()
         catalog.endpoints[f"e{number}"] = endpoint(number, 10000 + self.step % 50000).value
         plan = catalog.plan()
         started_at = time.process_time()
-        fresh = Prepared.of(plan)
-        self.assembly.core.book.update_terms(plan, fresh.terms)
-        self.assembly.listed.reread(fresh.listing)
+        fresh = PreparedReload.prepare(plan)
+        self.assembly.core.registry.update_terms(plan, fresh.terms)
+        self.assembly.listed_source.reread(fresh.listing)
         self.turn()
         return time.process_time() - started_at
 
--- a/benchmarks/slopes/owed.py
+++ b/benchmarks/slopes/owed.py
@@ -26,7 +26,7 @@
     store.open()
     for number in range(count):
         destination = f"d{number % DESTINATIONS}"
-        store.take(StoredMessage(b"m%d" % number, None, "news", "", b"", destination, end, BODY))
+        store.accept(StoredMessage(b"m%d" % number, None, "news", "", b"", destination, end, BODY))
     store.close()
     return store.size
 
--- a/laureldock/assembly.py
+++ b/laureldock/assembly.py
@@ -13,7 +13,7 @@
 
 from laureldock.carriers.http import Receivers
 from laureldock.core.dispatcher import Dispatcher
-from laureldock.core.seams import Front, Outlet, Source
+from laureldock.core.protocols import Front, Outlet, Source
 from laureldock.delivery_settings import DeliveryRegistry
 from laureldock.fronts.resp_server import Clients
 from laureldock.outlets.lines import Lines
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prepared:
+class PreparedReload:
     """A plan with all that a reload would else work out while mails wait."""
 
     plan: Plan
@@ -51,7 +51,7 @@
     listing: Listing
 
     @classmethod
-    def of(cls, plan: Plan) -> Prepared:
+    def prepare(cls, plan: Plan) -> PreparedReload:
         """Touches nothing else: it may be called in any thread."""
         return cls(plan, term_book(plan)[0], listing(plan))
 
@@ -73,43 +73,43 @@
         self.plan, self.reactor = plan, reactor
         store = store or Spool(state, plan.limits.disk)
         self.room = Room.of(plan.limits.sockets)
-        self.catalog = catalog_of(plan)
+        self.catalog = make_catalog(plan)
         known, terms = (plan, None) if self.catalog is None else (self.catalog.live, self.catalog.term_book)
         book = DeliveryRegistry(known, sockets=True, terms=terms)
         self.core = core = Dispatcher(plan.name, book, store, reactor, ended_for)
         self.clients = [
-            Clients(core, reactor, self.room, front.listen, self.most_clients(), front.pipeline)
+            Clients(core, reactor, self.room, front.listen, self.max_clients(), front.pipeline)
             for front in plan.front
         ]
-        core.on_processes = self.share_limits
+        core.on_process_count = self.share_limits
         self.clients[0].passed = plan.passed
         if isinstance(reactor, SteadyReactor):
             for each in self.clients:
                 each.unread = reactor.unread
-        core.handed_down = plan.passed >= 0
+        core.shares_listening_socket = plan.passed >= 0
         fronts: list[Front] = [*self.clients]
-        self.receivers = Receivers(core, reactor, self.room)
-        self.listed = None if plan.source.kind == "platform" else Listed(core, listing(plan))
-        self.controlled: Controlled | None = None
-        self.source = self.source_of(plan, state)
-        self.outlet = self.outlet_of(plan, state)
-        core.attach(fronts, self.receivers, self.source, self.outlet)
-        self.fleet = self.fleet_transport(plan, state) if plan.fleet else None
-        self.door = None
+        self.carrier = Receivers(core, reactor, self.room)
+        self.listed_source = None if plan.source.kind == "platform" else Listed(core, listing(plan))
+        self.controlled_source: Controlled | None = None
+        self.source = self.make_source(plan, state)
+        self.outlet = self.make_outlet(plan, state)
+        core.attach(fronts, self.carrier, self.source, self.outlet)
+        self.fleet = self.make_fleet_transport(plan, state) if plan.fleet else None
+        self.operator_server = None
         if plan.management:  # twisted.web costs some 4 MB, which a dispatcher without the address keeps
             from laureldock.operators.door import Door, Operated
 
             operated = Operated(
-                core.takes_clients,
-                core.operators_figures,
-                self.lameduck,
+                core.accepts_clients,
+                core.operator_metrics,
+                self.set_lameduck,
                 self.fleet.report if self.fleet else None,
                 self.fleet.forget if self.fleet else None,
             )
-            self.door = Door(reactor, plan.management, operated)
+            self.operator_server = Door(reactor, plan.management, operated)
         reactor.addSystemEventTrigger("before", "shutdown", self.stop)
 
-    def most_clients(self, processes: int = 1) -> int:
+    def max_clients(self, processes: int = 1) -> int:
         """Connections of one front: half of the sockets for clients at most, shared by the fronts."""
         return self.plan.limits.sockets // processes // 2 // len(self.plan.front)
 
@@ -118,20 +118,20 @@
         self.core.store.share_disk(processes)
         self.room.most = Room.of(self.plan.limits.sockets // processes).most
         for clients in self.clients:
-            clients.limit(self.most_clients(processes))
+            clients.limit(self.max_clients(processes))
         self.room.spare()
 
-    def source_of(self, plan: Plan, state: Path) -> Source:
+    def make_source(self, plan: Plan, state: Path) -> Source:
         if plan.source.address:
             return Directory(self.core, self.reactor, plan.source.address, plan.source.known)
         if plan.source.kind == "controller":
-            self.controlled = self.controlled_source(plan, state)
-            self.core.configuration_figures = self.controlled.figures
-            return self.controlled
-        assert self.listed is not None
-        return self.listed
+            self.controlled_source = self.make_controlled_source(plan, state)
+            self.core.configuration_metrics = self.controlled_source.figures
+            return self.controlled_source
+        assert self.listed_source is not None
+        return self.listed_source
 
-    def controlled_source(self, plan: Plan, state: Path) -> Controlled:
+    def make_controlled_source(self, plan: Plan, state: Path) -> Controlled:
         # A dispatcher without a controller imports none of it.
         from laureldock.replication.configuration_store import ConfigurationStore
         from laureldock.sources.controlled import Controlled, ControllerStream
@@ -149,12 +149,12 @@
         )
         return Controlled(core, stream, store)
 
-    def outlet_of(self, plan: Plan, state: Path) -> Outlet:
+    def make_outlet(self, plan: Plan, state: Path) -> Outlet:
         if plan.outlet.address:
             return Notices(self.core, self.reactor, plan.outlet.address)
         return Lines(self.core, state / plan.outlet.path if plan.outlet.path else None)
 
-    def fleet_transport(self, plan: Plan, state: Path) -> FleetTransport:
+    def make_fleet_transport(self, plan: Plan, state: Path) -> FleetTransport:
         from laureldock.fleet.transport import (  # a dispatcher without a fleet imports none of it
             WARNING_EVENTS,
             FleetTransport,
@@ -168,11 +168,11 @@
             (core.log.warning if name in WARNING_EVENTS else core.log.info)(f"fleet: {name}", **fields)
 
         def load() -> float:
-            return len(core.held) / plan.limits.room
+            return len(core.held_messages) / plan.limits.room
 
         return FleetTransport(self.reactor, settings, plan.name, plan.seed, state, told, load)
 
-    def lameduck(self, on: bool) -> None:
+    def set_lameduck(self, on: bool) -> None:
         self.core.set_lameduck(on)
         if self.fleet:
             self.fleet.lameduck(on)
@@ -180,9 +180,9 @@
     def start(self) -> None:
         """Listen for the fleet and for operators, and begin. OSError: one of them lastingly cannot listen."""
         if self.fleet:
-            wait_for(self.listen_for_fleet, self.waits_to_listen)
-        if self.door:
-            wait_for(self.door.open, self.waits_to_listen)
+            wait_for(self.listen_for_fleet, self.log_listen_wait)
+        if self.operator_server:
+            wait_for(self.operator_server.open, self.log_listen_wait)
         self.core.start()
 
     def listen_for_fleet(self) -> None:
@@ -193,7 +193,7 @@
         except CannotListenError as barred:
             raise listen_error(barred) from None
 
-    def waits_to_listen(self, fault: OSError) -> None:
+    def log_listen_wait(self, fault: OSError) -> None:
         """What fails for a moment is no end of the process."""
         self.core.log.warning("start waits", waits_for="listening socket", fault=str(fault))
 
@@ -212,7 +212,7 @@
 
     # Reload
 
-    def move_to(self, directory: Address | None, door: Address | None) -> None:
+    def update_addresses(self, directory: Address | None, door: Address | None) -> None:
         source, outlet = self.source, self.outlet
         if not self.core.running:
             return
@@ -221,7 +221,7 @@
         if door and isinstance(outlet, Notices) and door != outlet.dial:
             outlet.move(door)
 
-    def retold(self, plan: Plan) -> None:
+    def apply_platform_settings(self, plan: Plan) -> None:
         """The platform's settings anew: classes come and go, limits change; mails taken on keep theirs."""
         core = self.core
         if not core.running:
@@ -229,43 +229,43 @@
         plan.state, plan.management, plan.passed = self.plan.state, self.plan.management, self.plan.passed
         changed = changes(self.plan, plan)
         self.plan = plan
-        core.book.update_classes(plan)
-        core.tell(core.control.update_settings, core.book.settings)
-        self.move_to(plan.source.address, plan.outlet.address)
+        core.registry.update_classes(plan)
+        core.call_policy(core.policy.update_settings, core.registry.settings)
+        self.update_addresses(plan.source.address, plan.outlet.address)
         core.counters["configurations read"] += 1
-        core.log.info("configuration read", changed=changed, classes=sorted(core.book.classes))
+        core.log.info("configuration read", changed=changed, classes=sorted(core.registry.classes))
 
-    def unread(self, faults: list[str]) -> None:
+    def report_refused_configuration(self, faults: list[str]) -> None:
         """A file that is not taken: nothing of the old settings is lost."""
         self.core.counters["configurations refused"] += 1
         self.core.log.error(
             "configuration not read, the old one stays", faults=faults[:20], count=len(faults)
         )
 
-    def reload(self, fresh: Prepared) -> list[str]:
+    def reload(self, fresh: PreparedReload) -> list[str]:
         """Take over what may change, or nothing: the names of what may not."""
         plan = fresh.plan
         barred = refused(self.plan, plan)
         if barred:
-            self.unread([f"{name} cannot change while it runs" for name in barred])
+            self.report_refused_configuration([f"{name} cannot change while it runs" for name in barred])
             return barred
         changed = changes(self.plan, plan)
         if self.catalog is not None:
             if faults := self.rebase(plan):
-                self.unread(faults)
+                self.report_refused_configuration(faults)
                 return faults
         else:
-            self.core.book.update_terms(plan, fresh.terms)
+            self.core.registry.update_terms(plan, fresh.terms)
         self.plan = plan
         if self.fleet and plan.fleet:
             self.fleet.set_seeds(plan.fleet)
-        if self.listed and self.catalog is None:
-            self.listed.reread(fresh.listing)
-        self.move_to(plan.source.address, plan.outlet.address)
+        if self.listed_source and self.catalog is None:
+            self.listed_source.reread(fresh.listing)
+        self.update_addresses(plan.source.address, plan.outlet.address)
         self.core.counters["configurations read"] += 1
-        self.core.log.info("configuration read", changed=changed, routes=len(self.core.book.routes))
-        if self.controlled:
-            self.controlled.stream.try_again()
+        self.core.log.info("configuration read", changed=changed, routes=len(self.core.registry.routes))
+        if self.controlled_source:
+            self.controlled_source.stream.try_again()
         return []
 
     def rebase(self, plan: Plan) -> list[str]:
@@ -273,14 +273,14 @@
         from laureldock.setup.catalog import RefusedChangeError
 
         assert self.catalog is not None
-        fresh = catalog_of(plan)
+        fresh = make_catalog(plan)
         assert fresh is not None  # a reload changes no kind of source
         try:
             fresh.replace(self.catalog.entries())
         except RefusedChangeError as refusal:
             return [f"{dotted(fault.path)}: {fault.reason}" for fault in refusal.faults]
         self.catalog = fresh
-        self.core.book.update_terms(fresh.live, fresh.term_book)
+        self.core.registry.update_terms(fresh.live, fresh.term_book)
         return []
 
     # A controller's changes
@@ -299,25 +299,25 @@
     def apply_change(self, change: Change) -> None:
         """Take it over whole, in the size of the change. RefusedChangeError, then nothing has changed."""
         assert self.catalog is not None
-        self.take_over(self.catalog.apply(change, missing_ok=True))
+        self.apply_to_registry(self.catalog.apply(change, missing_ok=True))
 
     def replace_entries(self, entries: Iterable[CatalogEntry]) -> None:
         """All entries anew; what differs is taken over. RefusedChangeError, then nothing has changed."""
         assert self.catalog is not None
-        self.take_over(self.catalog.replace(entries))
+        self.apply_to_registry(self.catalog.replace(entries))
 
-    def take_over(self, applied: AppliedChange) -> None:
+    def apply_to_registry(self, applied: AppliedChange) -> None:
         """What changed in the catalog, told to the book and to the list; as a reload does it."""
-        assert self.catalog is not None and self.listed is not None
+        assert self.catalog is not None and self.listed_source is not None
         if not applied:
             return
         catalog, core = self.catalog, self.core
-        core.book.apply_change(applied, catalog)
+        core.registry.apply_change(applied, catalog)
         names = {put.name: None for put in applied.endpoints_put}
         for destination in applied.rekinded:
             names |= dict.fromkeys(catalog.endpoint_names.get(destination, ()))
         put = listing_of(catalog.live, [catalog.endpoints[name] for name in names])
-        self.listed.change(put, [removed.name for removed in applied.endpoints_removed])
+        self.listed_source.change(put, [removed.name for removed in applied.endpoints_removed])
         core.counters["configuration changes"] += 1
         core.log.info(
             "configuration changed",
@@ -328,7 +328,7 @@
         )
 
 
-def catalog_of(plan: Plan) -> Catalog | None:
+def make_catalog(plan: Plan) -> Catalog | None:
     """For what a controller tells; no other dispatcher imports it."""
     if plan.source.kind != "controller":
         return None
--- a/laureldock/carriers/http.py
+++ b/laureldock/carriers/http.py
@@ -11,10 +11,10 @@
 from twisted.internet.posixbase import PosixReactorBase
 from twisted.python.failure import Failure
 
-from laureldock.core import MOST_BODY
-from laureldock.core.ends import OUTCOMES, STATUSES, End
+from laureldock.core import MAX_BODY_BYTES
+from laureldock.core.call_results import ATTEMPT_RESULTS, RESULTS_BY_STATUS, CallResult
 from laureldock.core.messages import HeldMessage
-from laureldock.core.seams import Outcomes, Timer
+from laureldock.core.protocols import AttemptListener, Timer
 from laureldock.interface import Attempt, AttemptResult, ListedState, Outcome, Probe, Route
 from laureldock.sockets.flush import unread
 from laureldock.sockets.httpline import HttpLine, open_line
@@ -64,7 +64,7 @@
 
 
 class Receivers:
-    def __init__(self, core: Outcomes, reactor: PosixReactorBase, room: Room) -> None:
+    def __init__(self, core: AttemptListener, reactor: PosixReactorBase, room: Room) -> None:
         self.core, self.reactor, self.room = core, reactor, room
         self.pools: dict[Route, Pool] = {}
         self.resting: dict[HttpLine, Pool] = {}  # idle connections, the longest idle first
@@ -72,22 +72,22 @@
         room.spare = self.spare
 
     @property
-    def out(self) -> int:
+    def attempts_in_flight(self) -> int:
         return len(self.errands)
 
-    def listed(self, route: Route, dial: str) -> None:
+    def update_route(self, route: Route, dial: str) -> None:
         pool = self.pools.setdefault(route, Pool(route, dial, self.core.now, self.resting))
         if route.listed_state is not ListedState.UP or pool.dial != dial:
             pool.hang_up()
         pool.dial = dial
 
-    def forget(self, routes: Iterable[Route]) -> None:
+    def remove_routes(self, routes: Iterable[Route]) -> None:
         for route in routes:
             if pool := self.pools.pop(route, None):
                 pool.hang_up()
 
-    def attempt(self, attempt: Attempt, message: HeldMessage) -> None:
-        time_out = message.call_time(attempt.timeout, self.core.now())
+    def start_attempt(self, attempt: Attempt, message: HeldMessage) -> None:
+        time_out = message.call_timeout(attempt.timeout, self.core.now())
         head = [b"POST /hook HTTP/1.1", b"X-Call-Id: " + message.name]
         head += [b"Idempotency-Key: " + message.tag] if message.tag else []
         head += [
@@ -96,29 +96,29 @@
         ]
 
         def may_begin() -> bool:
-            return self.core.may_begin(attempt, message)
+            return self.core.may_start(attempt, message)
 
-        def ended(end: End, outcome: Outcome) -> None:
+        def ended(end: CallResult, outcome: Outcome) -> None:
             del self.errands[attempt]
-            self.core.ended(attempt, message, end, outcome)
+            self.core.attempt_ended(attempt, message, end, outcome)
 
         pool = self.pools[attempt.route]
         errand = Errand(
             self, pool, head, message.body, time_out, may_begin, ended, attempt.max_connection_idle_time
         )
-        errand.message, errand.sending = message, partial(self.core.sending, attempt, message)
+        errand.message, errand.sending = message, partial(self.core.attempt_sending, attempt, message)
         self.errands[attempt] = errand
         errand.start()
 
-    def cancel(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         if attempt in self.errands:
-            self.errands[attempt].stop(End.CALLED_OFF)
+            self.errands[attempt].stop(CallResult.CANCELLED)
 
-    def probe(self, probe: Probe) -> None:
+    def start_probe(self, probe: Probe) -> None:
         head, route = [b"GET /alive HTTP/1.1"], probe.route
 
-        def ended(end: End, outcome: Outcome) -> None:
-            self.core.probed(route, outcome)
+        def ended(end: CallResult, outcome: Outcome) -> None:
+            self.core.probe_ended(route, outcome)
 
         def may_begin() -> bool:
             return route.listed_state is ListedState.UP
@@ -126,14 +126,14 @@
         if route in self.pools:
             Errand(self, self.pools[route], head, b"", probe.timeout, may_begin, ended).start()
 
-    def hang_up(self, route: Route) -> None:
+    def close_idle_connections(self, route: Route) -> None:
         if route in self.pools:
             self.pools[route].hang_up()
 
     def take(self, pool: Pool, rest: float) -> tuple[float, HttpLine] | None:
         """A kept connection, surely not closed yet, with nothing on it to be taken for the next answer."""
         # In the time for which one may take to come up, a call gets there too.
-        tariff = self.core.tariff
+        tariff = self.core.settings
         pool.hang_up(tariff.idle_time - tariff.connect_timeout)
         while pool.idle:
             since, line = pool.take_newest()
@@ -167,7 +167,7 @@
         body: bytes,
         time_out: float,
         may_begin: Callable[[], bool],
-        ended: Callable[[End, Outcome], None],
+        ended: Callable[[CallResult, Outcome], None],
         rest: float = inf,
     ) -> None:
         self.receivers, self.pool, self.head, self.body = receivers, pool, head, body
@@ -179,11 +179,11 @@
         self.sending: Callable[[], None] = lambda: None  # told just before the first byte leaves
         self.opening: Deferred[HttpLine] | None = None
         self.timer: Timer | None = None
-        self.given_up: End | None = None  # as what; its last answer may be on its way
+        self.given_up: CallResult | None = None  # as what; its last answer may be on its way
 
     def start(self) -> None:
         core = self.receivers.core
-        self.timer = core.later(self.time_out, self.stop, End.SILENT)
+        self.timer = core.call_later(self.time_out, self.stop, CallResult.TIMED_OUT)
         kept = self.receivers.take(self.pool, self.rest)
         if kept:
             self.rested, line = kept
@@ -192,14 +192,14 @@
         self.receivers.spare()
         self.receivers.room.receivers += 1
         core.counters["connections opened"] += 1
-        patience = core.tariff.connect_timeout
-        self.opening = open_line(self.receivers.reactor, self.pool.dial, MOST_BODY, patience)
+        patience = core.settings.connect_timeout
+        self.opening = open_line(self.receivers.reactor, self.pool.dial, MAX_BODY_BYTES, patience)
         self.opening.addCallbacks(self.opened, self.failed)
 
     def opened(self, line: HttpLine) -> None:
         self.opening = None
         line.free, line.gone = self.pool.free, self.gone
-        self.receivers.core.later(0, self.go, line)  # when all that has come in is read
+        self.receivers.core.call_later(0, self.go, line)  # when all that has come in is read
 
     def gone(self, line: HttpLine) -> None:
         self.receivers.room.receivers -= 1
@@ -207,21 +207,21 @@
 
     def failed(self, failure: Failure) -> None:
         self.receivers.room.receivers -= 1
-        self.finish(End.UNREACHED)
+        self.finish(CallResult.NOT_CONNECTED)
 
     def go(self, line: HttpLine) -> None:
         if line.closed:
-            self.finish(End.UNREACHED)
+            self.finish(CallResult.NOT_CONNECTED)
             return
         if self.over or not self.may_begin():
             self.pool.free(line)
-            self.finish(End.HELD_BACK)
+            self.finish(CallResult.NOT_STARTED)
             return
         self.line = line
         self.sending()
         line.ask([*self.head, b"Host: " + self.pool.dial.encode()], self.body, self)
 
-    def stop(self, end: End) -> None:
+    def stop(self, end: CallResult) -> None:
         """Not waited for any more; what was not written whole has not run. An answer on its way counts."""
         if self.over or self.given_up:
             return
@@ -229,51 +229,51 @@
             self.hush()
             self.given_up = end
             self.line.end_sending()
-            self.timer = self.receivers.core.later(LAST_ANSWER_TIME, self.line.give_up, end)
+            self.timer = self.receivers.core.call_later(LAST_ANSWER_TIME, self.line.give_up, end)
             return
         if self.opening:
             self.opening.cancel()
         if self.line:
-            self.line.give_up(End.UNREACHED)
+            self.line.give_up(CallResult.NOT_CONNECTED)
         else:
-            self.finish(End.UNREACHED)
+            self.finish(CallResult.NOT_CONNECTED)
 
     def begun(self, status: int, headers: Headers) -> None:
         """A first line of 200 is true whatever follows: the rest is read for the connection's sake alone."""
         if status == 200 and not self.over and self.line:
-            self.finish(End.DELIVERED, headers)
+            self.finish(CallResult.DELIVERED, headers)
             core = self.receivers.core
-            self.timer = core.later(core.tariff.connect_timeout, self.line.drop)
+            self.timer = core.call_later(core.settings.connect_timeout, self.line.drop)
 
     def answered(self, status: int, headers: Headers, body: bytes) -> None:
-        end = STATUSES.get(status, End.STRANGE)
-        if end is End.TURNED_AWAY and headers.get(b"x-over-slots") == b"1":
-            end = End.NO_SLOT
+        end = RESULTS_BY_STATUS.get(status, CallResult.UNEXPECTED_STATUS)
+        if end is CallResult.REFUSED and headers.get(b"x-over-slots") == b"1":
+            end = CallResult.NO_SLOT
         self.finish(end, headers)
 
     def written_out(self) -> None:
         if self.message:  # not of a probe
-            self.receivers.core.sent(self.message)
+            self.receivers.core.message_sent(self.message)
 
-    def unanswered(self, end: End) -> None:
+    def unanswered(self, end: CallResult) -> None:
         self.finish(self.given_up or end)
 
     def hush(self) -> None:
         if self.timer and self.timer.active():
             self.timer.cancel()
 
-    def finish(self, end: End, headers: Headers | None = None) -> None:
+    def finish(self, end: CallResult, headers: Headers | None = None) -> None:
         self.hush()
         if self.over:
             return
         self.over = True
         headers = headers or {}
-        ending, finished = OUTCOMES[end]
+        ending, finished = ATTEMPT_RESULTS[end]
         told = report(headers.get(b"x-load-report", b""))
         wait = number(headers.get(b"x-ratelimit-wait-ms", b"")) if ending is AttemptResult.REFUSED else None
         wait, took = (wait or 0.0) / 1000, self.receivers.core.now() - self.began
         limit, left = told.get("x1"), told.get("x0", 1.0)
-        begun = end is not End.HELD_BACK
+        begun = end is not CallResult.NOT_STARTED
         self.ended(end, Outcome(ending, took, finished, wait, limit, left, begun, self.rested))
 
 
--- a/laureldock/cli/serve.py
+++ b/laureldock/cli/serve.py
@@ -14,7 +14,7 @@
 import structlog
 from twisted.internet.main import installReactor
 
-from laureldock.assembly import Assembly, Prepared
+from laureldock.assembly import Assembly, PreparedReload
 from laureldock.cli.config import refuse
 from laureldock.logs import Logs
 from laureldock.setup.faults import RefusedError, dotted
@@ -116,22 +116,22 @@
             if faults := faults_of(plan, bounds):
                 raise ValueError("; ".join(faults[:20]))
         except ValueError as fault:
-            assembly.unread([str(fault)])
+            assembly.report_refused_configuration([str(fault)])
             return
-        assembly.retold(plan)
+        assembly.apply_platform_settings(plan)
 
-    def fresh() -> Prepared | list[str]:
+    def fresh() -> PreparedReload | list[str]:
         """The plan of the file as it is now, or its faults."""
         try:
-            return Prepared.of(load(str(file), overrides).plan)
+            return PreparedReload.prepare(load(str(file), overrides).plan)
         except RefusedError as refused:
             return [str(fault) for fault in refused.faults]
         except Exception as fault:  # a defect of the reading ends no dispatcher, nor its next reload
             return [f"a defect: {fault!r}"]
 
-    def take_over(found: Prepared | list[str]) -> None:
+    def take_over(found: PreparedReload | list[str]) -> None:
         if isinstance(found, list):
-            assembly.unread(found)
+            assembly.report_refused_configuration(found)
         elif not assembly.reload(found):
             logs.retell(found.plan.log)
             assembly.core.verbose = found.plan.log.level == "debug"
--- a/laureldock/cli/spool.py
+++ b/laureldock/cli/spool.py
@@ -17,12 +17,14 @@
 def command(folder: Path, as_json: bool) -> None:
     """Print what the spool in FOLDER owes; it is only read."""
     to_wall = read_clocks().monotonic_to_wall
-    for owed in Spool(folder, 0, writes=False).owed.values():
+    for owed in Spool(folder, 0, writes=False).pending.values():
         name, size = owed.name.decode(), len(owed.body)
         if as_json:
             told = {"mail": name, "destination": owed.destination, "queue_class": owed.queue_class}
             click.echo(
-                json.dumps({**told, "connects": owed.attempts, "bytes": size, "end": owed.end + to_wall})
+                json.dumps(
+                    {**told, "connects": owed.attempts, "bytes": size, "end": owed.expires_at + to_wall}
+                )
             )
         else:
             click.echo(f"{name} to {owed.destination}: {owed.attempts} connects, {size} bytes")
--- /dev/null
+++ b/laureldock/core/call_results.py
@@ -0,0 +1,56 @@
+"""Every way in which a connection, and what is out on it, can end; and what the decisions hear of it."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+from laureldock.interface import AttemptResult
+
+
+class CallResult(Enum):
+    DELIVERED = "200"
+    DELIVERED_LATE = "200, after the mail's lifetime"
+    SERVER_ERROR = "500"
+    WAIT_REQUESTED = "429"
+    REFUSED = "503"
+    NO_SLOT = "503, all slots taken"
+    ATTEMPTS_EXHAUSTED = "504, no connect left"
+    MESSAGE_FINISHED = "410, the mail is over"
+    UNEXPECTED_STATUS = "another status"
+    MALFORMED_RESPONSE = "an answer that cannot be read"
+    NOT_CONNECTED = "no connection, or broken before the last byte was written"
+    CONNECTION_LOST = "broken after that"
+    TIMED_OUT = "no answer in time"
+    CANCELLED = "called off"
+    NOT_STARTED = "not begun: it may not begin any more"
+
+
+# What each means to the decisions, and whether the mail is over by it.
+ATTEMPT_RESULTS: dict[CallResult, tuple[AttemptResult, bool]] = {
+    CallResult.DELIVERED: (AttemptResult.SERVED, True),
+    CallResult.DELIVERED_LATE: (
+        AttemptResult.SERVED,
+        False,
+    ),  # it ran, and its client no longer counts it: an end is still owed
+    CallResult.SERVER_ERROR: (AttemptResult.ERROR, False),
+    CallResult.WAIT_REQUESTED: (AttemptResult.REFUSED, False),
+    CallResult.REFUSED: (AttemptResult.REFUSED, False),
+    CallResult.NO_SLOT: (AttemptResult.MOOT, False),
+    CallResult.ATTEMPTS_EXHAUSTED: (AttemptResult.MOOT, False),
+    CallResult.MESSAGE_FINISHED: (AttemptResult.MOOT, True),
+    CallResult.UNEXPECTED_STATUS: (AttemptResult.ERROR, False),
+    CallResult.MALFORMED_RESPONSE: (AttemptResult.ERROR, False),
+    CallResult.NOT_CONNECTED: (AttemptResult.NO_CONNECTION, False),
+    CallResult.CONNECTION_LOST: (AttemptResult.RESET, False),
+    CallResult.TIMED_OUT: (AttemptResult.TIMEOUT, False),
+    CallResult.CANCELLED: (AttemptResult.CANCELLED, False),
+    CallResult.NOT_STARTED: (AttemptResult.MOOT, False),
+}
+RESULTS_BY_STATUS = {
+    200: CallResult.DELIVERED,
+    410: CallResult.MESSAGE_FINISHED,
+    429: CallResult.WAIT_REQUESTED,
+    500: CallResult.SERVER_ERROR,
+    503: CallResult.REFUSED,
+    504: CallResult.ATTEMPTS_EXHAUSTED,
+}
--- a/laureldock/core/invariants.py
+++ b/laureldock/core/invariants.py
@@ -104,7 +104,7 @@
         now, key = self._dispatcher.now(), held.message.key
         if ending in interface.RESULTS_THAT_MAY_STILL_RUN and key is not None:
             self._rests = {each: rest for each, rest in self._rests.items() if rest[0] > now}
-            self._rests[key] = now + self._dispatcher.tariff.key_cooldown_time, held
+            self._rests[key] = now + self._dispatcher.settings.key_cooldown_time, held
         attempts = self._out.get(held.name, [])
         if attempt in attempts:
             attempts.remove(attempt)
@@ -118,13 +118,13 @@
         core = self._dispatcher
         now, route = core.now(), attempt.route
         facts = {"message": held.name.decode(errors="replace"), "route": route.name}
-        stored = core.store.owed.get(held.name)
+        stored = core.store.pending.get(held.name)
         self.check(core.holds(held), Invariant.SENT_UNOWED, **facts)
-        recorded = stored is not None and stored.out is not None
+        recorded = stored is not None and stored.in_flight_since is not None
         self.check(recorded, Invariant.SENT_UNRECORDED, **facts)
-        self.check(now <= held.end, Invariant.SENT_LATE, late=now - held.end, **facts)
+        self.check(now <= held.expires_at, Invariant.SENT_LATE, late=now - held.expires_at, **facts)
         gone_since = self._drained.get(route, inf)
-        drained = now > gone_since + core.tariff.drain_grace
+        drained = now > gone_since + core.settings.drain_grace
         self.check(not drained, Invariant.SENT_TO_DRAINED, late=now - gone_since, **facts)
         until = max(self._waits.get(route, -inf), self._waits.get(route.destination, -inf))
         self.check(now >= until, Invariant.SENT_DURING_WAIT, early=until - now, **facts)
@@ -132,8 +132,8 @@
         copies = held.message.terms.max_copies if held.message.terms else 1
         out = self._out.setdefault(held.name, [])
         self.check(len(out) < copies, Invariant.SENT_BESIDE, **facts)
-        if stored is not None and stored.ran is not None:
-            self._check_repeat(held.message.queue_class, now - stored.ran, facts)
+        if stored is not None and stored.first_may_have_run_at is not None:
+            self._check_repeat(held.message.queue_class, now - stored.first_may_have_run_at, facts)
         out.append(attempt)
         self._check_slots(facts)
         self._check_window(route, facts)
@@ -153,12 +153,12 @@
 
     def _check_slots(self, facts: dict[str, str]) -> None:
         peers = self._dispatcher.peers.view
-        out = len(self._out) + peers.calls_out
-        fits = not peers.processes or out <= self._dispatcher.tariff.slots
+        out = len(self._out) + peers.calls_in_flight
+        fits = not peers.processes or out <= self._dispatcher.settings.slots
         self.check(fits, Invariant.SENT_OVER_SLOTS, out=out, **facts)
 
     def _check_window(self, route: interface.Route, facts: dict[str, str]) -> None:
-        there = self._dispatcher.peers.view.calls_to.get(route.name, 0)
+        there = self._dispatcher.peers.view.calls_by_route.get(route.name, 0)
         if not there or route.kind.batch_size > 1:  # a call holds a batch
             return
         here = sum(each.route is route for attempts in self._out.values() for each in attempts)
@@ -173,15 +173,15 @@
 
     def refusing(self, message: HeldMessage) -> None:
         """Its sender is about to be told that it was not accepted."""
-        owed = message.name in self._dispatcher.store.owed
+        owed = message.name in self._dispatcher.store.pending
         self.check(not owed, Invariant.REFUSED_OWED, message=message.name.decode(errors="replace"))
 
     def noticing(self, name: bytes, line: bytes) -> None:
         """A notice is about to leave."""
         core = self._dispatcher
-        stored, held = core.store.owed.get(name), core.by_name.get(name)
+        stored, held = core.store.pending.get(name), core.messages_by_name.get(name)
         recorded = stored is not None and stored.notice == line
-        over = held is None or held.end <= core.now()
+        over = held is None or held.expires_at <= core.now()
         self.check(recorded or over, Invariant.NOTICE_UNRECORDED, message=name.decode(errors="replace"))
 
     def opening(self) -> None:
--- a/laureldock/core/messages.py
+++ b/laureldock/core/messages.py
@@ -25,16 +25,16 @@
     customer: str
     tag: bytes
     destination: Any  # a number or a name, as the list of receivers has it
-    end: float
+    expires_at: float
     body: bytes
     attempts: int = 0
-    ran: float | None = None  # when the first attempt that may have run was sent
-    out: float | None = None  # when the last one was sent, unless it is known not to have run
+    first_may_have_run_at: float | None = None  # when the first attempt that may have run was sent
+    in_flight_since: float | None = None  # when the last one was sent, unless it is known not to have run
     route: str = ""  # over which that one was sent
     # When it was accepted; messages of a key go in that order. Earliest where an older release took it.
-    accepted: float = -inf
+    accepted_at: float = -inf
     notice: bytes = b""  # by which it ends undelivered, not taken yet
-    room: int = 0  # bytes reserved for it in the store
+    reserved_bytes: int = 0  # bytes reserved for it in the store
 
 
 class ReplyKind(Enum):
@@ -71,15 +71,15 @@
     tag: bytes
     body: bytes
     message: interface.Message
-    end: float  # of its lifetime, in seconds of the clock of the process
+    expires_at: float  # of its lifetime, in seconds of the clock of the process
     submitter: Submitter | None = None  # until it has been replied to
     refusal: Reply | None = None
     recorded_attempt: interface.Attempt | None = None  # the last attempt that the store holds to be under way
     attempts: int = 0  # by this process
 
-    def call_time(self, time_out: float, now: float) -> float:
+    def call_timeout(self, time_out: float, now: float) -> float:
         """Seconds that a call may take: `time_out`, or less where the lifetime is nearly over."""
-        return max(0.0, min(time_out, self.end - now - ANSWER_MARGIN))
+        return max(0.0, min(time_out, self.expires_at - now - ANSWER_MARGIN))
 
 
 def encode_notice(name: bytes, handed_back: bool, retry_after: float) -> bytes:
--- a/laureldock/core/peer_processes.py
+++ b/laureldock/core/peer_processes.py
@@ -30,7 +30,7 @@
     def possible(self) -> bool:
         """Whether there may be another process: the listening socket is passed on, or one is there."""
         core = self._dispatcher
-        return core.handed_down or core.store.sharing
+        return core.shares_listening_socket or core.store.is_shared
 
     def read(self) -> bool:
         """Read what they have recorded up to now, and heed it; whether that could be done."""
@@ -58,35 +58,35 @@
     def _heed(self, view: PeerView) -> None:
         core = self._dispatcher
         if view.processes != self.view.processes:
-            core.log.info("other processes", count=view.processes, owed=len(view.accepted))
-            core.guard(core.on_processes, 1 + view.processes)
+            core.log.info("other processes", count=view.processes, owed=len(view.accepted_at))
+            core.guard(core.on_process_count, 1 + view.processes)
         self.view = view
-        core.tell(core.control.update_peer_load, view.as_limits())
+        core.call_policy(core.policy.update_peer_load, view.to_peer_load())
         self._heed_waits(view)
         self._heed_rests(view)
         self._heed_routes(view)
 
     def _heed_waits(self, view: PeerView) -> None:
         core, now = self._dispatcher, self._dispatcher.now()
-        for name, until in view.waits.items():
+        for name, until in view.requested_waits.items():
             if until <= now or self._heeded_waits.get(name) == until:
                 continue
-            if (route := core.book.routes.get(name)) is not None:
+            if (route := core.registry.routes.get(name)) is not None:
                 self._heeded_waits[name] = until
-                core.tell(core.control.route_requested_wait, route, until - now)
+                core.call_policy(core.policy.route_requested_wait, route, until - now)
 
     def _heed_rests(self, view: PeerView) -> None:
         core, now = self._dispatcher, self._dispatcher.now()
         self._heeded_rests = {key: until for key, until in self._heeded_rests.items() if until > now}
-        for key, until in view.rests.items():
+        for key, until in view.cooldowns.items():
             if until > now and self._heeded_rests.get(key) != until:
                 self._heeded_rests[key] = until
-                core.tell(core.control.cool_down_key, key, until)
+                core.call_policy(core.policy.cool_down_key, key, until)
 
     def _heed_routes(self, view: PeerView) -> None:
         core = self._dispatcher
         for name, record in view.routes.items():
-            route = core.book.routes.get(name)
+            route = core.registry.routes.get(name)
             if route is None or self._heeded_routes.get(name) == record:
                 continue
             self._heeded_routes[name] = record
@@ -95,7 +95,7 @@
     def heed_route(self, route: Route, record: RouteRecord) -> None:
         """Tell the decisions what another process, or an earlier life, saw of a route."""
         core = self._dispatcher
-        if record.back_at is None:
-            core.tell(core.control.route_failed_elsewhere, route, record.at)
+        if record.recovered_at is None:
+            core.call_policy(core.policy.route_failed_elsewhere, route, record.seen_at)
         else:
-            core.tell(core.control.route_recovered_elsewhere, route, record.back_at)
+            core.call_policy(core.policy.route_recovered_elsewhere, route, record.recovered_at)
--- a/laureldock/core/peer_view.py
+++ b/laureldock/core/peer_view.py
@@ -19,8 +19,8 @@
     `back_at`: when it came back cold; None: it failed. `at`: when that was seen.
     """
 
-    back_at: float | None
-    at: float
+    recovered_at: float | None
+    seen_at: float
 
 
 def newest_records(found: Iterable[Mapping[str, RouteRecord]]) -> dict[str, RouteRecord]:
@@ -28,7 +28,7 @@
     together: dict[str, RouteRecord] = {}
     for records in found:
         for name, record in records.items():
-            if name not in together or record.at > together[name].at:
+            if name not in together or record.seen_at > together[name].seen_at:
                 together[name] = record
     return together
 
@@ -38,24 +38,26 @@
     """Of all other processes together. Times are seconds of the monotonic clock."""
 
     processes: int = 0
-    calls_out: int = 0
-    calls_to: Mapping[str, int] = field(default_factory=dict)  # the same, by route
-    accepted: Mapping[bytes, float] = field(default_factory=dict)  # when, by message that is owed
-    keys: Mapping[str, Mapping[bytes, float]] = field(default_factory=dict)  # the same, by key
-    ended: Set[bytes] = frozenset()  # messages that were over lately
-    waits: Mapping[str, float] = field(default_factory=dict)  # by route, until when
-    rests: Mapping[str, float] = field(default_factory=dict)  # by key, until when
+    calls_in_flight: int = 0
+    calls_by_route: Mapping[str, int] = field(default_factory=dict)  # the same, by route
+    accepted_at: Mapping[bytes, float] = field(default_factory=dict)  # when, by message that is owed
+    accepted_by_key: Mapping[str, Mapping[bytes, float]] = field(default_factory=dict)  # the same, by key
+    recently_finished: Set[bytes] = frozenset()  # messages that were over lately
+    requested_waits: Mapping[str, float] = field(default_factory=dict)  # by route, until when
+    cooldowns: Mapping[str, float] = field(default_factory=dict)  # by key, until when
     routes: Mapping[str, RouteRecord] = field(default_factory=dict)
 
     def first_accepted(self, key: str) -> float:
         """When the first message of a key that is owed there was accepted; infinite if none is owed."""
-        return min(self.keys.get(key, {}).values(), default=inf)
+        return min(self.accepted_by_key.get(key, {}).values(), default=inf)
 
     def knows(self, name: bytes) -> bool:
         """Whether a message is owed there, or was lately."""
-        return name in self.accepted or name in self.ended
+        return name in self.accepted_at or name in self.recently_finished
 
-    def as_limits(self) -> PeerLoad:
+    def to_peer_load(self) -> PeerLoad:
         """What the decisions need of it."""
-        first = {key: min(owed.values()) for key, owed in self.keys.items() if owed}
-        return PeerLoad(self.processes, self.calls_out, self.calls_to, len(self.accepted), first)
+        first = {key: min(owed.values()) for key, owed in self.accepted_by_key.items() if owed}
+        return PeerLoad(
+            self.processes, self.calls_in_flight, self.calls_by_route, len(self.accepted_at), first
+        )
--- a/laureldock/core/seams.py
+++ b/laureldock/core/protocols.py
@@ -11,14 +11,14 @@
 from typing import Any, Protocol
 
 from laureldock import interface
-from laureldock.core.ends import End
+from laureldock.core.call_results import CallResult
 from laureldock.core.invariants import Invariants
 from laureldock.core.messages import HeldMessage, Reply, StoredMessage, Submitter
 from laureldock.core.peer_view import PeerView, RouteRecord
 from laureldock.delivery_settings import ListedEndpoint
 
 
-class NotAMailError(Exception):
+class InvalidMessageError(Exception):
     """What was handed in is whole, and names something that there is not. The text may be shown."""
 
 
@@ -49,13 +49,13 @@
 
 class Front(Protocol):
     @property
-    def busy(self) -> int:
+    def connection_count(self) -> int:
         """Connections that are open."""
 
     def open(self) -> None:
         """Listen. ListenError."""
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         """Listen no more, and close connections once they are answered."""
 
     def set_lameduck(self, on: bool) -> None:
@@ -64,21 +64,21 @@
 
 class Carrier(Protocol):
     @property
-    def out(self) -> int:
+    def attempts_in_flight(self) -> int:
         """Connects without an outcome."""
 
-    def listed(self, route: interface.Route, dial: str) -> None: ...
+    def update_route(self, route: interface.Route, dial: str) -> None: ...
 
-    def forget(self, routes: Iterable[interface.Route]) -> None:
+    def remove_routes(self, routes: Iterable[interface.Route]) -> None:
         """Close what leads to them: they are gone from the list."""
 
-    def attempt(self, attempt: interface.Attempt, message: HeldMessage) -> None: ...
+    def start_attempt(self, attempt: interface.Attempt, message: HeldMessage) -> None: ...
 
-    def cancel(self, attempt: interface.Attempt) -> None: ...
+    def cancel_attempt(self, attempt: interface.Attempt) -> None: ...
 
-    def probe(self, probe: interface.Probe) -> None: ...
+    def start_probe(self, probe: interface.Probe) -> None: ...
 
-    def hang_up(self, route: interface.Route) -> None: ...
+    def close_idle_connections(self, route: interface.Route) -> None: ...
 
     def close(self) -> None: ...
 
@@ -87,7 +87,7 @@
     def start(self) -> None:
         """Tell the list as it was last known."""
 
-    def ask(self, asked: interface.FetchList) -> None: ...
+    def fetch_list(self, asked: interface.FetchList) -> None: ...
 
     @property
     def settled(self) -> bool:
@@ -98,13 +98,13 @@
 
 class Outlet(Protocol):
     @property
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         """Notices not taken yet."""
 
-    def owes(self, name: bytes) -> bool: ...
+    def has_pending(self, name: bytes) -> bool: ...
 
-    def put(self, name: bytes, line: bytes) -> None:
-        """Take a notice (`messages.encode_notice`); `noticed` follows once it will not be lost."""
+    def send_notice(self, name: bytes, line: bytes) -> None:
+        """Take a notice (`messages.encode_notice`); `notice_acknowledged` follows once it is safe."""
 
     def close(self) -> None: ...
 
@@ -112,20 +112,20 @@
 class Store(Protocol):
     """What is owed, beyond the life of the process. Times are seconds of the monotonic clock.
 
-    A call that writes raises OSError if it cannot write now. `out`, `notice` and `refuse` have changed
-    nothing then; `back`, `end`, `over`, `wait`, `rest` and `route` hold all the same, and `flush` writes
-    them later. `take` says whether it did.
+    A call that writes raises OSError if it cannot write now. `record_attempt_start`,
+    `record_notice` and `record_refusal` have changed nothing then; the other `record_` calls hold all the
+    same, and `flush` writes them later. `accept` says whether it did.
     """
 
     @property
-    def owed(self) -> Mapping[bytes, StoredMessage]: ...
+    def pending(self) -> Mapping[bytes, StoredMessage]: ...
 
     @property
-    def torn(self) -> int:
+    def torn_bytes(self) -> int:
         """Bytes at its end that could not be read."""
 
     @property
-    def behind(self) -> bool:
+    def has_unwritten(self) -> bool:
         """Whether something waits for `flush`."""
 
     def open(self) -> None: ...
@@ -133,29 +133,29 @@
     def flush(self) -> None:
         """Write what failed before."""
 
-    def take(self, mail: StoredMessage) -> bool:
+    def accept(self, mail: StoredMessage) -> bool:
         """Whether it is owed from now on: there was room for it, and it is written."""
 
-    def out(self, name: bytes, at: float, route: str) -> None:
+    def record_attempt_start(self, name: bytes, at: float, route: str) -> None:
         """An attempt begins, over a route."""
 
-    def back(self, name: bytes) -> None:
+    def record_not_run(self, name: bytes) -> None:
         """Its last attempt has not run."""
 
-    def end(self, name: bytes) -> None:
+    def record_attempt_end(self, name: bytes) -> None:
         """Its last attempt has ended, and may have run."""
 
-    def notice(self, name: bytes, line: bytes) -> None:
+    def record_notice(self, name: bytes, line: bytes) -> None:
         """It ends by this notice, once that is taken."""
 
-    def refuse(self, name: bytes) -> None:
+    def record_refusal(self, name: bytes) -> None:
         """It is owed no more: its sender is told so next."""
 
-    def over(self, name: bytes) -> None:
+    def record_finished(self, name: bytes) -> None:
         """It is owed no more."""
 
     @property
-    def sharing(self) -> bool:
+    def is_shared(self) -> bool:
         """Whether another process of this dispatcher writes the folder too, while it hands over."""
 
     def share_disk(self, processes: int) -> None:
@@ -165,19 +165,19 @@
         """What processes that have ended since owe, now owed by this one."""
 
     @property
-    def rests(self) -> Mapping[str, float]:
+    def cooldowns(self) -> Mapping[str, float]:
         """Keys that rest, by the records of earlier lives and of this one, and until when."""
 
     def read_peers(self) -> PeerView:
         """What other living processes of this dispatcher have recorded. OSError: it cannot be told now."""
 
-    def wait(self, route: str, until: float, now: float) -> None:
+    def record_requested_wait(self, route: str, until: float, now: float) -> None:
         """A route told this process to wait: for the others to read."""
 
-    def rest(self, key: str, until: float, now: float) -> None:
+    def record_cooldown(self, key: str, until: float, now: float) -> None:
         """A key rests: for the others and for the next life."""
 
-    def route(self, route: str, record: RouteRecord) -> None:
+    def record_route(self, route: str, record: RouteRecord) -> None:
         """A route failed or came back: for the others and for the next life."""
 
     def inherit_routes(self) -> Mapping[str, RouteRecord]:
@@ -187,76 +187,76 @@
 # What its peers ask of the core
 
 
-class Timing(Protocol):
+class CoreServices(Protocol):
     counters: Counter[str]
 
     def now(self) -> float: ...
 
-    def later(self, after: float, call: Callable[..., None], *args: Any) -> Timer: ...
+    def call_later(self, after: float, call: Callable[..., None], *args: Any) -> Timer: ...
 
 
-class Intake(Timing, Protocol):
+class SubmissionHandler(CoreServices, Protocol):
     """The core as fronts see it."""
 
     invariants: Invariants
 
-    def put(self, submitter: Submitter, stored: StoredMessage, left: float) -> Reply | HeldMessage | None:
+    def submit(self, submitter: Submitter, stored: StoredMessage, left: float) -> Reply | HeldMessage | None:
         """Take a message on: its reply, or the message whose submitter hears later. NotAMailError.
 
         None: the submitter hears later, and nothing was taken on.
         """
 
-    def withdrawn(self, message: HeldMessage) -> None:
+    def client_withdrew(self, message: HeldMessage) -> None:
         """Its client went before its answer could leave: whatever becomes of it counts for nothing."""
 
-    def malformed(self, why: str) -> None: ...
+    def report_malformed_request(self, why: str) -> None: ...
 
-    def full(self, full: bool) -> None:
+    def report_accepting_paused(self, full: bool) -> None:
         """Clients wait to be accepted, or no longer."""
 
-    def short(self) -> None:
+    def report_out_of_descriptors(self) -> None:
         """The process is out of descriptors before the limit on clients is reached."""
 
-    def figures(self) -> dict[str, float]: ...
+    def metrics(self) -> dict[str, float]: ...
 
 
-class Outcomes(Timing, Protocol):
+class AttemptListener(CoreServices, Protocol):
     """The core as carriers see it."""
 
     @property
-    def tariff(self) -> interface.DeliverySettings: ...
+    def settings(self) -> interface.DeliverySettings: ...
 
-    def may_begin(self, attempt: interface.Attempt, message: HeldMessage) -> bool: ...
+    def may_start(self, attempt: interface.Attempt, message: HeldMessage) -> bool: ...
 
-    def sending(self, attempt: interface.Attempt, message: HeldMessage) -> None:
-        """Its first byte is about to leave: `may_begin` has allowed it."""
+    def attempt_sending(self, attempt: interface.Attempt, message: HeldMessage) -> None:
+        """Its first byte is about to leave: `may_start` has allowed it."""
 
-    def sent(self, message: HeldMessage) -> None:
+    def message_sent(self, message: HeldMessage) -> None:
         """The last byte of a call with it has left."""
 
-    def ended(
-        self, attempt: interface.Attempt, message: HeldMessage, end: End, outcome: interface.Outcome
+    def attempt_ended(
+        self, attempt: interface.Attempt, message: HeldMessage, end: CallResult, outcome: interface.Outcome
     ) -> None: ...
 
-    def probed(self, route: interface.Route, outcome: interface.Outcome) -> None: ...
+    def probe_ended(self, route: interface.Route, outcome: interface.Outcome) -> None: ...
 
 
-class News(Timing, Protocol):
+class EndpointListListener(CoreServices, Protocol):
     """The core as sources see it."""
 
     running: bool
 
     def guard(self, call: Callable[..., Any], *args: Any) -> Any: ...
 
-    def news(self, hosts: list[tuple[ListedEndpoint, str]], whole: bool) -> None:
+    def list_updated(self, hosts: list[tuple[ListedEndpoint, str]], whole: bool) -> None:
         """Entries of the list, each with where to dial; `whole` replaces the list held."""
 
     def list_failed(self, why: str) -> None: ...
 
 
-class Noticed(Timing, Protocol):
+class NoticeListener(CoreServices, Protocol):
     """The core as outlets see it."""
 
     log: Any
 
-    def noticed(self, name: bytes) -> None: ...
+    def notice_acknowledged(self, name: bytes) -> None: ...
--- a/laureldock/core/reattachment.py
+++ b/laureldock/core/reattachment.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from laureldock.core.messages import HeldMessage, Reply
-from laureldock.core.seams import Timer
+from laureldock.core.protocols import Timer
 
 if TYPE_CHECKING:
     from laureldock.core.dispatcher import Dispatcher
@@ -29,7 +29,7 @@
     def wait_for_client(self, message: HeldMessage) -> None:
         """Its connection has ended; it is withdrawn unless its client comes again."""
         core = self._dispatcher
-        self._waiting[message.name] = core.later(REATTACH_TIME, self._expire, message)
+        self._waiting[message.name] = core.call_later(REATTACH_TIME, self._expire, message)
 
     def waits(self, message: HeldMessage) -> bool:
         """Whether its client may come again."""
--- a/laureldock/core/record_keeping.py
+++ b/laureldock/core/record_keeping.py
@@ -37,7 +37,7 @@
     def end_by_notice(self, name: bytes, line: bytes) -> None:
         """Send a notice once its record is in the store."""
         core = self._dispatcher
-        if name not in self._waiting and self.write(core.store.notice, name, line):
+        if name not in self._waiting and self.write(core.store.record_notice, name, line):
             self._send(name, line)
         else:
             self.delay_notice(name, line)
@@ -53,12 +53,12 @@
 
     def retry_if_behind(self) -> None:
         """Look again soon where something is not in the store as it should be."""
-        if self._dispatcher.store.behind:
+        if self._dispatcher.store.has_unwritten:
             self._set_timer()
 
     def _send(self, name: bytes, line: bytes) -> None:
         self._dispatcher.invariants.noticing(name, line)
-        self._dispatcher.outlet.put(name, line)
+        self._dispatcher.outlet.send_notice(name, line)
 
     def _failed(self, fault: OSError) -> None:
         core = self._dispatcher
@@ -72,13 +72,13 @@
         core = self._dispatcher
         if not self.failing:
             self.failing = True
-            core.tell(core.control.hold_sends, True)
+            core.call_policy(core.policy.hold_sends, True)
         self._set_timer()
 
     def _set_timer(self) -> None:
         if not self._timer_set:
             self._timer_set = True
-            self._dispatcher.later(RETRY_INTERVAL, self._retry)
+            self._dispatcher.call_later(RETRY_INTERVAL, self._retry)
 
     def _retry(self) -> None:
         self._timer_set = False
@@ -86,17 +86,17 @@
         works = self.write(core.store.flush)
         works = core.peers.read() and works
         for name, line in list(self._waiting.items()):
-            works = works and self.write(core.store.notice, name, line)
+            works = works and self.write(core.store.record_notice, name, line)
             if works or self._lifetime_over(name):
                 del self._waiting[name]
                 self._send(name, line)
         if works and self.failing:
             self.failing = False
             core.log.info("spool can be written again")
-            core.tell(core.control.hold_sends, False)
-        if self._waiting or core.store.behind or not works:
+            core.call_policy(core.policy.hold_sends, False)
+        if self._waiting or core.store.has_unwritten or not works:
             self._set_timer()
 
     def _lifetime_over(self, name: bytes) -> bool:
-        message = self._dispatcher.by_name.get(name)
-        return message is None or message.end <= self._dispatcher.now()
+        message = self._dispatcher.messages_by_name.get(name)
+        return message is None or message.expires_at <= self._dispatcher.now()
--- a/laureldock/core/recovery.py
+++ b/laureldock/core/recovery.py
@@ -26,20 +26,20 @@
         """Send the notices again that no outlet has taken yet."""
         for message in messages:
             if message.notice:
-                self._dispatcher.outlet.put(message.name, message.notice)
+                self._dispatcher.outlet.send_notice(message.name, message.notice)
 
     def revive(self, messages: list[StoredMessage]) -> None:
         """Hold messages again, in the order in which they were accepted."""
         now = self._dispatcher.now()
-        for message in sorted(messages, key=lambda each: each.accepted):
+        for message in sorted(messages, key=lambda each: each.accepted_at):
             self._revive(message, now)
 
     def rest_keys(self) -> None:
         """Keys that rest since before, for as long as is left of it."""
         core = self._dispatcher
-        for key, until in core.store.rests.items():
+        for key, until in core.store.cooldowns.items():
             if until > core.now():
-                core.tell(core.control.cool_down_key, key, until)
+                core.call_policy(core.policy.cool_down_key, key, until)
 
     def inherit_routes(self) -> None:
         """Routes that an earlier life, or a process that has ended, saw fail or come back a moment ago.
@@ -48,7 +48,7 @@
         """
         core = self._dispatcher
         for name, record in core.store.inherit_routes().items():
-            if (route := core.book.routes.get(name)) is not None:
+            if (route := core.registry.routes.get(name)) is not None:
                 core.peers.heed_route(route, record)
 
     def watch_processes(self) -> None:
@@ -60,7 +60,7 @@
             self.adopt()
         core.records.retry_if_behind()
         core.peers.read()
-        core.later(PEER_INTERVAL if core.store.sharing else ADOPT_INTERVAL, self.watch_processes)
+        core.call_later(PEER_INTERVAL if core.store.is_shared else ADOPT_INTERVAL, self.watch_processes)
 
     def adopt(self) -> None:
         """Take over what processes that have ended owe."""
@@ -75,23 +75,25 @@
 
     def _revive(self, message: StoredMessage, now: float) -> None:
         core = self._dispatcher
-        queue_class = core.book.classes.get(message.queue_class)
+        queue_class = core.registry.classes.get(message.queue_class)
         if queue_class is None:  # the settings have changed since
             if not message.notice:
-                core.end_by_notice(message.name, handed_back=False)
+                core.finish_by_notice(message.name, handed_back=False)
             return
-        left = message.end - now
-        mail = core.book.new_message(queue_class, message.destination, left, message.customer, message.key)
+        left = message.expires_at - now
+        mail = core.registry.new_message(
+            queue_class, message.destination, left, message.customer, message.key
+        )
         mail.earlier_attempts, mail.age_of_first_run = message.attempts, age_of_first_run(message, now)
-        mail.accepted_at, mail.awaits_notice = message.accepted, bool(message.notice)
-        mail.call_interrupted = message.out is not None
+        mail.accepted_at, mail.awaits_notice = message.accepted_at, bool(message.notice)
+        mail.call_interrupted = message.in_flight_since is not None
         core.hold(HeldMessage(message.name, message.tag, message.body, mail, now + mail.time_left))
-        core.tell(core.control.message_accepted, mail)
+        core.call_policy(core.policy.message_accepted, mail)
 
 
 def age_of_first_run(message: StoredMessage, now: float) -> float | None:
     """Seconds since the first attempt that may have run was sent; None if there was none."""
-    starts = [at for at in (message.ran, message.out) if at is not None]
+    starts = [at for at in (message.first_may_have_run_at, message.in_flight_since) if at is not None]
     if not starts:
         return None
     age = now - min(starts)
--- a/laureldock/core/submissions.py
+++ b/laureldock/core/submissions.py
@@ -6,7 +6,7 @@
 
 from laureldock import interface
 from laureldock.core.messages import ACCEPTED, HeldMessage, Reply, ReplyKind, StoredMessage, Submitter
-from laureldock.core.seams import NotAMailError
+from laureldock.core.protocols import InvalidMessageError
 
 if TYPE_CHECKING:
     from laureldock.core.dispatcher import Dispatcher
@@ -23,7 +23,7 @@
         self._dispatcher = dispatcher
         self._unanswered: list[HeldMessage] = []  # accepted since the last turn
 
-    def put(self, submitter: Submitter, stored: StoredMessage, left: float) -> Reply | HeldMessage | None:
+    def submit(self, submitter: Submitter, stored: StoredMessage, left: float) -> Reply | HeldMessage | None:
         """Accept a message with `left` seconds of its lifetime, or refuse it.
 
         The reply; or the message, whose submitter hears after the turn; None: the submitter hears later, and
@@ -33,15 +33,15 @@
         queue_class = self._class_of(stored)
         if reply := core.reattachment.claim(stored.name):
             return reply
-        if stored.name in core.by_name:  # sent once more, since a close had crossed it
+        if stored.name in core.messages_by_name:  # sent once more, since a close had crossed it
             return ACCEPTED
         if not core.peers.read():
             core.counters["refused: other processes cannot be read"] += 1
             return Reply(ReplyKind.BUSY)
         if core.peers.view.knows(stored.name):
             return self._put_in_doubt(submitter, stored.name)
-        stored.accepted = core.now()  # after what others have recorded: they come before
-        if not core.store.take(stored):
+        stored.accepted_at = core.now()  # after what others have recorded: they come before
+        if not core.store.accept(stored):
             core.counters["spool full"] += 1
             core.count(stored.queue_class, "deferred")
             return Reply(ReplyKind.BUSY)
@@ -57,7 +57,7 @@
                     self._dispatcher.invariants.refusing(message)
                 submitter.reply(message.refusal or ACCEPTED)
 
-    def withdrawn(self, message: HeldMessage) -> None:
+    def client_withdrew(self, message: HeldMessage) -> None:
         """Its client went before its answer could leave: whatever becomes of it counts for nothing."""
         core = self._dispatcher
         message.submitter = None
@@ -69,54 +69,54 @@
     def withdraw(self, held: HeldMessage) -> None:
         """Nobody wants it any more."""
         core = self._dispatcher
-        if not core.holds(held) or core.outlet.owes(held.name):
+        if not core.holds(held) or core.outlet.has_pending(held.name):
             return
         core.counters["withdrawn"] += 1
         if held.recorded_attempt and core.peers.possible:  # which may be out for as long
-            core.record_rest(held, held.recorded_attempt.timeout + core.tariff.key_cooldown_time)
+            core.record_cooldown(held, held.recorded_attempt.timeout + core.settings.key_cooldown_time)
         core.records.withdraw(held.name)
-        core.tell(core.control.message_withdrawn, held.message)
+        core.call_policy(core.policy.message_withdrawn, held.message)
         core.forget(held)
 
     def _class_of(self, stored: StoredMessage) -> interface.QueueClass:
         """NotAMailError: it names no class or destination that is known."""
         core = self._dispatcher
-        queue_class = core.book.classes.get(stored.queue_class)
+        queue_class = core.registry.classes.get(stored.queue_class)
         if queue_class is None:
             core.count(stored.queue_class, "bounced")
-            raise NotAMailError("unknown class")
-        if stored.destination not in core.book.destinations:  # none was ever listed for it
+            raise InvalidMessageError("unknown class")
+        if stored.destination not in core.registry.destinations:  # none was ever listed for it
             core.count(stored.queue_class, "bounced")
-            raise NotAMailError("unknown destination")
+            raise InvalidMessageError("unknown destination")
         return queue_class
 
     def _hold(
         self, submitter: Submitter, stored: StoredMessage, queue_class: interface.QueueClass, left: float
     ) -> HeldMessage:
         core = self._dispatcher
-        mail = core.book.new_message(queue_class, stored.destination, left, stored.customer, stored.key)
-        mail.accepted_at = stored.accepted
+        mail = core.registry.new_message(queue_class, stored.destination, left, stored.customer, stored.key)
+        mail.accepted_at = stored.accepted_at
         message = HeldMessage(stored.name, stored.tag, stored.body, mail, core.now() + left, submitter)
         core.hold(message)
         self._unanswered.append(message)
         core.counters["taken"] += 1
         if core.logs_steps:
-            core.step("mail taken", message)
-        core.tell(core.control.message_accepted, mail)
+            core.log_step("mail taken", message)
+        core.call_policy(core.policy.message_accepted, mail)
         return message
 
     def _put_in_doubt(self, submitter: Submitter, name: bytes) -> Reply | None:
         """Of a message that another process has, or had a moment ago."""
         core = self._dispatcher
         core.recovery.adopt()  # its process may just have ended
-        if name in core.by_name:
+        if name in core.messages_by_name:
             return ACCEPTED
-        core.later(DOUBT_TIME, self._reply_in_doubt, submitter, name)
+        core.call_later(DOUBT_TIME, self._reply_in_doubt, submitter, name)
         return None
 
     def _reply_in_doubt(self, submitter: Submitter, name: bytes) -> None:
         """To a client that has waited on: its message may run there."""
         core = self._dispatcher
-        known = name in core.by_name  # taken over meanwhile
+        known = name in core.messages_by_name  # taken over meanwhile
         core.counters["refused: another process has it"] += not known
         submitter.reply(ACCEPTED if known else Reply(ReplyKind.FAILED))
--- a/laureldock/fronts/resp.py
+++ b/laureldock/fronts/resp.py
@@ -9,9 +9,9 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from laureldock.core import MOST_BODY
+from laureldock.core import MAX_BODY_BYTES
 from laureldock.core.messages import HeldMessage, Reply
-from laureldock.core.seams import NotAMailError
+from laureldock.core.protocols import InvalidMessageError
 from laureldock.fronts.resp_commands import COMMANDS, encode_reply, printable
 from laureldock.sockets.flush import Flush, half_close, unread
 from laureldock.wire import resp
@@ -52,7 +52,7 @@
         """`backlog_wait`: seconds for which at most it has waited to be accepted."""
         self.clients, self.number = clients, number
         self.backlog_wait = backlog_wait  # until it has been answered
-        self.commands = Commands(MOST_BODY)
+        self.commands = Commands(MAX_BODY_BYTES)
         self.pending: HeldMessage | None = None  # taken on, and its client has not been told
         self.answering = self.reading = False
         self.closing = self.leaving = False  # nothing more is read; nothing after this request
@@ -78,7 +78,7 @@
     def connectionLost(self, reason: Failure | None = None) -> None:  # noqa: N802
         self.clients.left(self)
         if self.pending:
-            self.clients.core.withdrawn(self.pending)
+            self.clients.core.client_withdrew(self.pending)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if self.closing:
@@ -88,7 +88,7 @@
         if not self.reading:
             data = self.read_whole(data)
         super().dataReceived(data)
-        if self.paused and len(self._buffer) > MOST_BODY:
+        if self.paused and len(self._buffer) > MAX_BODY_BYTES:
             self.transport.pauseProducing()
 
     def read_whole(self, data: bytes) -> bytes:
@@ -146,7 +146,7 @@
             return
         try:
             call(self, *words[1:])
-        except NotAMailError as fault:
+        except InvalidMessageError as fault:
             self.error(str(fault))
 
     def error(self, why: str) -> None:
@@ -157,7 +157,7 @@
         if self.errors > MAX_ERRORS:
             self.refuse("too many errors")
             return
-        self.clients.core.malformed(why)
+        self.clients.core.report_malformed_request(why)
         self.answer(resp.error(f"ERR {why}"))
 
     # Answers
@@ -213,7 +213,7 @@
             self.closing = True
             self._buffer = b""
             self.commands.clear()
-            self.clients.core.malformed(why)
+            self.clients.core.report_malformed_request(why)
             self.answer(resp.error(f"ERR {why}"))
 
     def look(self, now: float) -> None:
--- a/laureldock/fronts/resp_commands.py
+++ b/laureldock/fronts/resp_commands.py
@@ -10,7 +10,7 @@
 
 from laureldock import __version__
 from laureldock.core.messages import HeldMessage, Reply, ReplyKind, StoredMessage
-from laureldock.core.seams import NotAMailError
+from laureldock.core.protocols import InvalidMessageError
 from laureldock.sockets.flush import unread
 from laureldock.wire import resp
 
@@ -43,7 +43,7 @@
         return int(word)
     if DESTINATION.fullmatch(word):
         return word.decode()
-    raise NotAMailError("no destination")
+    raise InvalidMessageError("no destination")
 
 
 def printable(word: bytes) -> str:
@@ -57,9 +57,9 @@
     lifetime, tag = fields.get(b"d", b""), fields.get(b"k", b"")
     words = [key, name, *([tag] if tag else [])]
     if not all(WORD.fullmatch(word) for word in words):
-        raise NotAMailError("a key or id that cannot go on")
+        raise InvalidMessageError("a key or id that cannot go on")
     if not lifetime.isdigit() or len(lifetime) > 9:
-        raise NotAMailError("no lifetime")
+        raise InvalidMessageError("no lifetime")
     destination = parse_destination(fields.get(b"dest", b""))
     queue_class, customer = (fields.get(field, b"").decode(errors="replace") for field in (b"c", b"t"))
     order = None if not key.strip(b"0") else key.decode()
@@ -73,7 +73,7 @@
     if unread(client.transport) == b"":  # the client has given up, as after a stall of this process
         client.leaving = True  # the reactor reads the close
         return
-    result = core.put(client, message, left)
+    result = core.submit(client, message, left)
     if isinstance(result, HeldMessage):
         client.paused, client.pending = True, result
     elif result is None:
@@ -98,7 +98,7 @@
 def info(client: Client, *sections: bytes) -> None:
     """`INFO`: the version, and all counters."""
     lines = [f"laureldock_version:{__version__}", f"process_id:{os.getpid()}"]
-    figures = client.clients.core.figures().items()
+    figures = client.clients.core.metrics().items()
     lines += [f"{NOT_IN_A_NAME.sub('_', name)}:{value}" for name, value in figures]
     client.answer(resp.bulk("\r\n".join(["# laureldock", *lines, ""]).encode()))
 
--- a/laureldock/fronts/resp_server.py
+++ b/laureldock/fronts/resp_server.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import Factory
 from twisted.internet.tcp import Port
 
-from laureldock.core.seams import Intake, ListenError
+from laureldock.core.protocols import ListenError, SubmissionHandler
 from laureldock.fronts.resp import CHECK_INTERVAL, IDLE_GRACE, Client, CloseReason
 from laureldock.sockets.flush import unread
 from laureldock.sockets.reactor import ListeningPort
@@ -29,7 +29,13 @@
     noisy = False
 
     def __init__(
-        self, core: Intake, reactor: PosixReactorBase, room: Room, listen: str, most: int, pipeline: int
+        self,
+        core: SubmissionHandler,
+        reactor: PosixReactorBase,
+        room: Room,
+        listen: str,
+        most: int,
+        pipeline: int,
     ) -> None:
         self.core, self.reactor, self.room, self.listen = core, reactor, room, listen
         self.pipeline = pipeline  # commands behind one that waits
@@ -49,7 +55,7 @@
         self.most_idle = most // 3
 
     @property
-    def busy(self) -> int:
+    def connection_count(self) -> int:
         return len(self.clients) + bool(self.shutting and self.port)
 
     def open(self) -> None:
@@ -70,7 +76,7 @@
         except OSError as error:
             raise ListenError(str(error), is_transient(error)) from None
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         if self.port and not self.shutting:
             self.shutting = True
             self._accept_last(self.core.now() + LAST_ACCEPTS)
@@ -85,7 +91,7 @@
         for client in list(self.clients):
             client.finish()
         if self._somebody_waits() and self.core.now() < until:  # an accept has failed
-            self.core.later(LAST_ACCEPT_INTERVAL, self._accept_last, until)
+            self.core.call_later(LAST_ACCEPT_INTERVAL, self._accept_last, until)
         elif port:
             self.port = None
             port.stopListening()
@@ -114,7 +120,7 @@
         self.make_room()
         if not self.looking:
             self.looking = True
-            self.core.later(CHECK_INTERVAL, self.look)
+            self.core.call_later(CHECK_INTERVAL, self.look)
 
     def look(self) -> None:
         now = self.core.now()
@@ -123,11 +129,11 @@
         self.make_room()
         self.looking = bool(self.clients)
         if self.looking:
-            self.core.later(CHECK_INTERVAL, self.look)
+            self.core.call_later(CHECK_INTERVAL, self.look)
 
     def crowded(self, most: int) -> None:
         """The process is out of descriptors, whatever its limit says: so many give way."""
-        self.core.short()
+        self.core.report_out_of_descriptors()
         self.make_room(most)
 
     def make_room(self, short: int = 0) -> None:
@@ -165,6 +171,6 @@
 
     def turn_away(self, full: bool) -> None:
         self.full = full
-        self.core.full(full)
+        self.core.report_accepting_paused(full)
         if self.port:
             (self.port.stopReading if full else self.port.startReading)()
--- a/laureldock/outlets/lines.py
+++ b/laureldock/outlets/lines.py
@@ -8,7 +8,7 @@
 import os
 from pathlib import Path
 
-from laureldock.core.seams import Noticed
+from laureldock.core.protocols import NoticeListener
 from laureldock.file_locks import open_locked
 from laureldock.file_writes import write_whole
 
@@ -56,19 +56,19 @@
 
 
 class Lines:
-    def __init__(self, core: Noticed, path: Path | None) -> None:
+    def __init__(self, core: NoticeListener, path: Path | None) -> None:
         self.core, self.path = core, path
         self.kept: dict[bytes, bytes] = {}
         self.due = self.failing = False
 
     @property
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         return len(self.kept)
 
-    def owes(self, name: bytes) -> bool:
+    def has_pending(self, name: bytes) -> bool:
         return name in self.kept
 
-    def put(self, name: bytes, line: bytes) -> None:
+    def send_notice(self, name: bytes, line: bytes) -> None:
         self.kept[name] = line
         self.soon(0.0)
 
@@ -76,7 +76,7 @@
         """All that end in one turn are written together."""
         if not self.due:
             self.due = True
-            self.core.later(after, self.write)
+            self.core.call_later(after, self.write)
 
     def write(self) -> None:
         self.due = False
@@ -94,7 +94,7 @@
             self.failing = False
         for name in written:
             del self.kept[name]
-            self.core.noticed(name)
+            self.core.notice_acknowledged(name)
 
     def _write_all(self, written: list[bytes]) -> None:
         """Write what is kept, a line at a time; `written` are those that are. OSError."""
--- a/laureldock/outlets/platform.py
+++ b/laureldock/outlets/platform.py
@@ -4,9 +4,9 @@
 
 from twisted.internet.posixbase import PosixReactorBase
 
-from laureldock.core import MOST_BODY
-from laureldock.core.ends import End
-from laureldock.core.seams import Noticed
+from laureldock.core import MAX_BODY_BYTES
+from laureldock.core.call_results import CallResult
+from laureldock.core.protocols import NoticeListener
 from laureldock.sockets.httpline import Asker, HttpLine
 from laureldock.wire.http1 import Headers
 
@@ -15,21 +15,21 @@
 
 
 class Notices(Asker):
-    def __init__(self, core: Noticed, reactor: PosixReactorBase, dial: str) -> None:
-        super().__init__(reactor, dial, MOST_BODY)
+    def __init__(self, core: NoticeListener, reactor: PosixReactorBase, dial: str) -> None:
+        super().__init__(reactor, dial, MAX_BODY_BYTES)
         self.core = core
         self.owed: dict[bytes, bytes] = {}  # by mail, in the order of their ends
         self.sent: list[bytes] = []  # those in the call that is out
         self.failing = False
 
     @property
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         return len(self.owed)
 
-    def owes(self, name: bytes) -> bool:
+    def has_pending(self, name: bytes) -> bool:
         return name in self.owed
 
-    def put(self, name: bytes, line: bytes) -> None:
+    def send_notice(self, name: bytes, line: bytes) -> None:
         self.owed[name] = line
         self.post()
 
@@ -40,7 +40,7 @@
         size = 0
         for name, line in self.owed.items():
             size += len(line)
-            if size > MOST_BODY:
+            if size > MAX_BODY_BYTES:
                 break
             self.sent.append(name)
         self.begin(PATIENCE)
@@ -65,7 +65,7 @@
         done, self.sent = self.sent, []
         for name in done:
             del self.owed[name]
-            self.core.noticed(name)
+            self.core.notice_acknowledged(name)
         return self.post()
 
     def move(self, dial: str) -> None:
@@ -75,8 +75,8 @@
     def written_out(self) -> None:
         """Nothing is counted of it."""
 
-    def unanswered(self, end: End) -> None:
-        self.fail(end.value, again=end is not End.GARBLED)
+    def unanswered(self, end: CallResult) -> None:
+        self.fail(end.value, again=end is not CallResult.MALFORMED_RESPONSE)
 
     def fail(self, why: str, again: bool = False) -> None:
         """Send it again: at once where only a kept connection had broken, else after a pause."""
@@ -86,4 +86,4 @@
             self.failing = True
             reused = self.line is not None and self.line.used > 1
             self.drop()
-            self.core.later(0.0 if again and reused else PAUSE, self.post)
+            self.core.call_later(0.0 if again and reused else PAUSE, self.post)
--- a/laureldock/sockets/httpline.py
+++ b/laureldock/sockets/httpline.py
@@ -14,8 +14,8 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from laureldock.core.ends import End
-from laureldock.core.seams import Timer
+from laureldock.core.call_results import CallResult
+from laureldock.core.protocols import Timer
 from laureldock.sockets.flush import Flush, half_close
 from laureldock.wire.http1 import Answers, GarbledError, Headers
 
@@ -25,7 +25,7 @@
 
     def answered(self, status: int, headers: Headers, body: bytes) -> None: ...
 
-    def unanswered(self, end: End) -> None: ...
+    def unanswered(self, end: CallResult) -> None: ...
 
     def written_out(self) -> None:
         """Told when the call's last byte has left."""
@@ -79,7 +79,7 @@
         if self.reader is None or not self.written:
             # Nothing was asked, or not whole yet: it is for nobody, and would stand before the next answer.
             # What was not written whole has not run, and now never will.
-            self.give_up(End.UNREACHED)
+            self.give_up(CallResult.NOT_CONNECTED)
             return
         self.came += len(data)
         super().dataReceived(data)
@@ -131,15 +131,15 @@
             reader.answered(status, headers, body)
 
     def garble(self) -> None:
-        self.give_up(End.GARBLED)
+        self.give_up(CallResult.MALFORMED_RESPONSE)
 
-    def give_up(self, end: End) -> None:
+    def give_up(self, end: CallResult) -> None:
         """Close it, and tell who waits on it."""
         reader = self.reader
         self.drop()
         self.spoilt(reader, end)
 
-    def spoilt(self, reader: Reader | None, end: End) -> None:
+    def spoilt(self, reader: Reader | None, end: CallResult) -> None:
         """It will never be whole. A first line of 200 is true even so; of any other answer nothing holds."""
         if reader and self.answers.status == 200:
             reader.answered(200, Headers(), b"")
@@ -156,7 +156,7 @@
         if reader and got.to_the_close:
             reader.answered(got.status, got.headers, bytes(got.body))
         else:
-            self.spoilt(reader, End.BROKEN if self.written else End.UNREACHED)
+            self.spoilt(reader, CallResult.CONNECTION_LOST if self.written else CallResult.NOT_CONNECTED)
         self.gone(self)
 
 
@@ -206,7 +206,7 @@
             self.came = came
             self.timer = self.reactor.callLater(silence, self.waited, silence)
         else:
-            self.fail(End.SILENT.value)
+            self.fail(CallResult.TIMED_OUT.value)
 
     def opened(self, line: HttpLine) -> None:
         self.opening, self.line = None, line
--- a/laureldock/sources/controlled.py
+++ b/laureldock/sources/controlled.py
@@ -12,7 +12,7 @@
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python.failure import Failure
 
-from laureldock.core.seams import News
+from laureldock.core.protocols import EndpointListListener
 from laureldock.interface import FetchList
 from laureldock.replication import messages
 from laureldock.replication.change_log import Record
@@ -290,7 +290,9 @@
     disk and waits for the lock.
     """
 
-    def __init__(self, core: News, stream: ControllerStream, store: ConfigurationStore) -> None:
+    def __init__(
+        self, core: EndpointListListener, stream: ControllerStream, store: ConfigurationStore
+    ) -> None:
         self.core, self.stream, self.store = core, stream, store
         stream.on_applied = self._applied
         self.settled = False
@@ -303,7 +305,7 @@
         if following:
             self.stream.start()
         else:
-            self.core.later(LOCK_INTERVAL, self._wait_for_lock)
+            self.core.call_later(LOCK_INTERVAL, self._wait_for_lock)
 
     def _acquire(self) -> bool:
         try:
@@ -332,7 +334,7 @@
             self.stream.on_event(SubscriberEvent("fault", {"fault": repr(defect)}, serious=True))
             return
         self.stream.restore(kept)
-        self.core.guard(self.core.news, [], False)
+        self.core.guard(self.core.list_updated, [], False)
 
     def _load(self) -> KeptConfiguration:
         try:
@@ -344,7 +346,7 @@
         if self._closed:
             return
         if not self._acquire():
-            self.core.later(LOCK_INTERVAL, self._wait_for_lock)
+            self.core.call_later(LOCK_INTERVAL, self._wait_for_lock)
             return
         self._restore()  # the process before may have gone on
         self.stream.start()
@@ -352,9 +354,9 @@
     def _applied(self) -> None:
         if not self.settled and is_filled(self.stream.subscriber.position):
             self.settled = True
-            self.core.guard(self.core.news, [], False)  # clients may come now
+            self.core.guard(self.core.list_updated, [], False)  # clients may come now
 
-    def ask(self, asked: FetchList) -> None:
+    def fetch_list(self, asked: FetchList) -> None:
         """The controller tells what there is by itself."""
 
     def close(self) -> None:
--- a/laureldock/sources/listed.py
+++ b/laureldock/sources/listed.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from laureldock import interface
-from laureldock.core.seams import News
+from laureldock.core.protocols import EndpointListListener
 from laureldock.delivery_settings import ListedEndpoint
 from laureldock.setup.entries import kind_of, name_of, number_of
 from laureldock.setup.plan import Endpoint, Plan
@@ -46,11 +46,11 @@
 
 
 class Listed:
-    def __init__(self, core: News, held: Listing) -> None:
+    def __init__(self, core: EndpointListListener, held: Listing) -> None:
         self.core, self.held = core, held
 
     def start(self) -> None:
-        self.core.news(list(self.held.values()), True)
+        self.core.list_updated(list(self.held.values()), True)
 
     def reread(self, fresh: Listing) -> None:
         """All anew; what differs is told."""
@@ -74,11 +74,11 @@
         # Guards mails against a name that moved: its route is the old destination's until it is gone.
         for news in (removals, told):
             if news:
-                self.core.guard(self.core.news, news, False)
+                self.core.guard(self.core.list_updated, news, False)
 
     settled = True
 
-    def ask(self, asked: interface.FetchList) -> None:
+    def fetch_list(self, asked: interface.FetchList) -> None:
         """There is nobody to ask."""
 
     def close(self) -> None:
--- a/laureldock/sources/platform.py
+++ b/laureldock/sources/platform.py
@@ -7,8 +7,8 @@
 
 from twisted.internet.posixbase import PosixReactorBase
 
-from laureldock.core.ends import End
-from laureldock.core.seams import News
+from laureldock.core.call_results import CallResult
+from laureldock.core.protocols import EndpointListListener
 from laureldock.delivery_settings import ListedEndpoint
 from laureldock.interface import FetchList, ListedState
 from laureldock.setup.units import address
@@ -49,7 +49,7 @@
 
 
 class Directory(Asker):
-    def __init__(self, core: News, reactor: PosixReactorBase, dial: str, known: Any) -> None:
+    def __init__(self, core: EndpointListListener, reactor: PosixReactorBase, dial: str, known: Any) -> None:
         super().__init__(reactor, dial, MOST_BODY)
         self.core, self.known = core, known
         self.seq: int | None = None
@@ -63,9 +63,9 @@
 
     def take(self, seq: int, whole: bool, hosts: list[tuple[ListedEndpoint, str]]) -> None:
         self.seq = seq
-        self.core.news(hosts, whole)
+        self.core.list_updated(hosts, whole)
 
-    def ask(self, asked: FetchList) -> None:
+    def fetch_list(self, asked: FetchList) -> None:
         if not self.busy:
             self.asked, self.since = asked, self.core.now()
             # The first after a start or a failure need not wait for news, so that silence shows sooner.
@@ -76,7 +76,7 @@
         super().move(dial)
         self.seq, self.watching = None, False  # its versions are its own: the whole list is asked for
         if self.asked:
-            self.ask(self.asked)
+            self.fetch_list(self.asked)
 
     def send(self, line: HttpLine) -> None:
         wait = max(1, round(self.waits * 1000))
@@ -99,13 +99,13 @@
         self.watching = self.settled = True
         self.core.guard(self.take, *news)
         if asked and self.core.running:
-            self.ask(asked)  # the watch goes on
+            self.fetch_list(asked)  # the watch goes on
         return None
 
     def written_out(self) -> None:
         """Nothing is counted of it."""
 
-    def unanswered(self, end: End) -> None:
+    def unanswered(self, end: CallResult) -> None:
         self.fail(end.value)
 
     def fail(self, why: str) -> None:
--- a/laureldock/stores/peer_spools.py
+++ b/laureldock/stores/peer_spools.py
@@ -72,13 +72,13 @@
         ended: set[bytes] = set()
         view = PeerView(
             processes=len(self._peers),
-            calls_out=sum(len(peer.out) for peer in self._peers.values()),
-            calls_to=Counter(route for peer in self._peers.values() for route in peer.out.values()),
-            accepted=accepted,
-            keys=keys,
-            ended=ended,
-            waits=latest(peer.waits for peer in self._peers.values()),
-            rests=latest(peer.rests for peer in self._peers.values()),
+            calls_in_flight=sum(len(peer.out) for peer in self._peers.values()),
+            calls_by_route=Counter(route for peer in self._peers.values() for route in peer.out.values()),
+            accepted_at=accepted,
+            accepted_by_key=keys,
+            recently_finished=ended,
+            requested_waits=latest(peer.waits for peer in self._peers.values()),
+            cooldowns=latest(peer.rests for peer in self._peers.values()),
             routes=newest_records(peer.routes for peer in self._peers.values()),
         )
         for peer in self._peers.values():
--- a/laureldock/stores/spool.py
+++ b/laureldock/stores/spool.py
@@ -54,29 +54,29 @@
 
     def __init__(self, folder: Path, disk: float, writes: bool = True) -> None:
         self.folder = folder
-        self.held: list[Path] = []  # files that other living processes write
-        self.owed: dict[bytes, StoredMessage] = {}
-        self.room = 0  # bytes reserved for what is owed
+        self.peer_paths: list[Path] = []  # files that other living processes write
+        self.pending: dict[bytes, StoredMessage] = {}
+        self.reserved_bytes = 0  # bytes reserved for what is owed
         # Of this process, or of one whose file it took: waits by route and rests by key, until when.
-        self.waits: dict[str, float] = {}
-        self.rests: dict[str, float] = {}
+        self.requested_waits: dict[str, float] = {}
+        self.cooldowns: dict[str, float] = {}
         self.routes: dict[str, RouteRecord] = {}
         self._inherited_routes: dict[str, RouteRecord] = {}  # of earlier lives and of ended processes
-        self.ended_files: list[tuple[Path, int]] = []  # with their locked descriptors
+        self.taken_over_files: list[tuple[Path, int]] = []  # with their locked descriptors
         self._peers = PeerSpools(folder)
-        self.torn = 0  # bytes at the end of the file that are no whole record
+        self.torn_bytes = 0  # bytes at the end of the file that are no whole record
         self._queued: deque[bytes] = deque()  # payloads that a failed write has left out
         self._renewal_due = True  # nothing is added to the file as it is
         self._failing = False  # the last write failed
         self._file = RecordFile(-1)
-        self.path = self.numbered_path(0)
+        self.path = self.path_of(0)
         try:
             self._load(writes)
         except OSError:
             self.close()
             raise
         self._disk = disk
-        self.share_disk(1 + len(self.held))
+        self.share_disk(1 + len(self.peer_paths))
 
     def share_disk(self, processes: int) -> None:
         """Keep to this process's part of the folder's limit, of so many.
@@ -84,30 +84,30 @@
         Two files stand side by side while one is written anew: a third of the room for what is owed, two for
         the file that grows; one block of each is lost to the way of counting.
         """
-        self.max_owed = int(self._disk / (3 * processes)) - 2 * BLOCK
-        self.max_size = 2 * self.max_owed
+        self.max_pending_bytes = int(self._disk / (3 * processes)) - 2 * BLOCK
+        self.max_file_bytes = 2 * self.max_pending_bytes
 
     def _load(self, writes: bool) -> None:
         number, file = 0, -1
-        while writes and (locked := open_locked(self.numbered_path(number))) is None:
-            self.held.append(self.numbered_path(number))
+        while writes and (locked := open_locked(self.path_of(number))) is None:
+            self.peer_paths.append(self.path_of(number))
             number += 1
         if writes:
             assert locked is not None
             file = locked
         self._file = RecordFile(file)
-        self.path = self.numbered_path(number)
+        self.path = self.path_of(number)
         data = self.path.read_bytes() if self.path.exists() else b""
         reader = self._replay_all(data)
         self._inherited_routes = dict(self.routes)
         self._file = RecordFile(file, reader.size, reader.checksum)
         self._renewal_due = not reader.current
-        self.torn = len(data) - reader.size
+        self.torn_bytes = len(data) - reader.size
         for path in self.unknown_files():
             if not writes:
                 self._replay_all(path.read_bytes())
             elif not self._take_over(path):
-                self.held.append(path)
+                self.peer_paths.append(path)
 
     @property
     def file(self) -> int:
@@ -125,20 +125,20 @@
         return self.path.with_name(self.path.name + ".new")
 
     @property
-    def behind(self) -> bool:
+    def has_unwritten(self) -> bool:
         """Whether something is not in the files as it should be; `flush` tries again."""
-        return bool(self._queued or self.ended_files)
+        return bool(self._queued or self.taken_over_files)
 
     def unknown_files(self) -> list[Path]:
         """Files of other processes in the folder that this one does not know of yet. OSError."""
-        known = {self.path, *self.held, *(path for path, _ in self.ended_files)}
+        known = {self.path, *self.peer_paths, *(path for path, _ in self.taken_over_files)}
         own = {*self._own_inodes()}
         files = list_spools(self.folder).items()
         return sorted(path for inode, path in files if path not in known and inode not in own)
 
     def _own_inodes(self) -> Iterator[int]:
         """Of the file that this process writes, and of those that it takes over."""
-        for file in (self.file, *(file for _, file in self.ended_files)):
+        for file in (self.file, *(file for _, file in self.taken_over_files)):
             if file >= 0:
                 yield os.fstat(file).st_ino
 
@@ -162,7 +162,7 @@
         self._inherited_routes |= {
             name: each for name, each in self.routes.items() if own.get(name) is not each
         }
-        self.ended_files.append((path, file))
+        self.taken_over_files.append((path, file))
         self._renewal_due = True
         return True
 
@@ -172,24 +172,24 @@
         OSError: it cannot be told now, and nothing may be done that depends on it.
         """
         view = self._peers.read(self._own_inodes())
-        if view.processes != len(self.held):
-            self.held = [path for path in self.held if path.exists()]
-            self.held += self.unknown_files()
+        if view.processes != len(self.peer_paths):
+            self.peer_paths = [path for path in self.peer_paths if path.exists()]
+            self.peer_paths += self.unknown_files()
         return view
 
-    def wait(self, route: str, until: float, now: float) -> None:
+    def record_requested_wait(self, route: str, until: float, now: float) -> None:
         """A route told this process to wait until then; others read it. OSError: it is queued."""
-        self.waits = {name: end for name, end in self.waits.items() if end > now}
-        self.waits[route] = until
+        self.requested_waits = {name: end for name, end in self.requested_waits.items() if end > now}
+        self.requested_waits[route] = until
         self._queue(encode_payload(["wait", route, until]))
 
-    def rest(self, key: str, until: float, now: float) -> None:
+    def record_cooldown(self, key: str, until: float, now: float) -> None:
         """Messages of a key rest until then, here and in the next life. OSError: it is queued."""
-        self.rests = {name: end for name, end in self.rests.items() if end > now}
-        self.rests[key] = until
+        self.cooldowns = {name: end for name, end in self.cooldowns.items() if end > now}
+        self.cooldowns[key] = until
         self._queue(encode_payload(["rest", key, until]))
 
-    def route(self, route: str, record: RouteRecord) -> None:
+    def record_route(self, route: str, record: RouteRecord) -> None:
         """A route failed, or came back cold; others read it. OSError: it is queued."""
         self.routes[route] = record
         self._queue(encode_route(route, record))
@@ -203,14 +203,14 @@
         self._queued.append(payload)
         self.flush()
 
-    def numbered_path(self, number: int) -> Path:
+    def path_of(self, number: int) -> Path:
         """The file of the process that found `number` others in the folder."""
         return self.folder / ("spool" if number == 0 else f"spool.{number}")
 
     @property
-    def sharing(self) -> bool:
+    def is_shared(self) -> bool:
         """Whether another process writes the folder too."""
-        return bool(self.held)
+        return bool(self.peer_paths)
 
     def open(self) -> None:
         """Begin to write the folder. What cannot be written now is made up for by the next write."""
@@ -222,12 +222,12 @@
 
     def adopt(self) -> list[StoredMessage]:
         """What processes that have ended since owe, now owed by this one. What cannot be read waits."""
-        before = set(self.owed)
-        for path in list(self.held):
+        before = set(self.pending)
+        for path in list(self.peer_paths):
             with contextlib.suppress(OSError):
                 if self._take_over(path):
-                    self.held.remove(path)
-        adopted = [message for name, message in self.owed.items() if name not in before]
+                    self.peer_paths.remove(path)
+        adopted = [message for name, message in self.pending.items() if name not in before]
         with contextlib.suppress(OSError):
             self.flush()
         return adopted
@@ -243,122 +243,126 @@
         kind, name, *rest = fields
         if kind == "mail":
             message = decode_message(fields[1:], body, shift)
-            self.add(message, encode_message(message))
+            self.add_pending(message, encode_message(message))
         elif kind == "wait":
-            self.waits[name] = max(rest[0] + shift, self.waits.get(name, -inf))
+            self.requested_waits[name] = max(rest[0] + shift, self.requested_waits.get(name, -inf))
         elif kind == "rest":
-            self.rests[name] = max(rest[0] + shift, self.rests.get(name, -inf))
+            self.cooldowns[name] = max(rest[0] + shift, self.cooldowns.get(name, -inf))
         elif kind == "route":
             self.routes[name] = decode_route(rest, shift)
-        elif (message_of := self.owed.get(name.encode())) is not None:
+        elif (message_of := self.pending.get(name.encode())) is not None:
             if kind in ("out", "accepted"):
                 rest = [rest[0] + shift, *rest[1:]]
-            self.apply(kind, message_of, rest)
+            self.apply_change(kind, message_of, rest)
 
     @staticmethod
     def reserved_for(message: StoredMessage, payload: bytes) -> int:
         """Bytes to reserve: besides the message its notice, and the record that it is over."""
         return RECORD_HEADER.size + len(payload) + 8 * len(message.name) + 256
 
-    def add(self, message: StoredMessage, payload: bytes) -> None:
+    def add_pending(self, message: StoredMessage, payload: bytes) -> None:
         """Owe a message, whose payload is given."""
-        if before := self.owed.get(message.name):
-            self.room -= before.room
-        message.room = self.reserved_for(message, payload)
-        self.room += message.room
-        self.owed[message.name] = message
+        if before := self.pending.get(message.name):
+            self.reserved_bytes -= before.reserved_bytes
+        message.reserved_bytes = self.reserved_for(message, payload)
+        self.reserved_bytes += message.reserved_bytes
+        self.pending[message.name] = message
 
-    def apply(self, kind: str, message: StoredMessage, rest: list[Any]) -> None:
+    def apply_change(self, kind: str, message: StoredMessage, rest: list[Any]) -> None:
         """Apply a change of a message that is owed."""
         match kind:
             case "out":
-                if message.ran is None:
-                    message.ran = message.out
-                message.attempts, message.out = message.attempts + 1, rest[0]
+                if message.first_may_have_run_at is None:
+                    message.first_may_have_run_at = message.in_flight_since
+                message.attempts, message.in_flight_since = message.attempts + 1, rest[0]
                 message.route = rest[1] if len(rest) > 1 else ""  # an older release has none
             case "accepted":
-                message.accepted = rest[0]
+                message.accepted_at = rest[0]
             case "sent_to":
                 message.route = rest[0]
             case "back":
-                message.out = None
+                message.in_flight_since = None
             case "end":
-                message.ran = message.out if message.ran is None else message.ran
-                message.out = None
+                message.first_may_have_run_at = (
+                    message.in_flight_since
+                    if message.first_may_have_run_at is None
+                    else message.first_may_have_run_at
+                )
+                message.in_flight_since = None
             case "notice":
                 message.notice = rest[0].encode()
             case "over":
-                self.room -= message.room
-                del self.owed[message.name]
+                self.reserved_bytes -= message.reserved_bytes
+                del self.pending[message.name]
 
-    def take(self, message: StoredMessage) -> bool:
+    def accept(self, message: StoredMessage) -> bool:
         """Owe a message from now on; False where there is no room for it, or it cannot be written."""
         payload = encode_message(message)
-        if self.room + self.reserved_for(message, payload) > self.max_owed:
+        if self.reserved_bytes + self.reserved_for(message, payload) > self.max_pending_bytes:
             return False
         try:
             self._write(payload, *encode_accepted(message))
         except OSError:
             return False
-        self.add(message, payload)
+        self.add_pending(message, payload)
         return True
 
-    def out(self, name: bytes, at: float, route: str) -> None:
+    def record_attempt_start(self, name: bytes, at: float, route: str) -> None:
         """An attempt begins, over a route. OSError: it is not written, and the attempt may not begin."""
         self._change_now("out", name, at, route)
 
-    def notice(self, name: bytes, line: bytes) -> None:
+    def record_notice(self, name: bytes, line: bytes) -> None:
         """It ends by this notice, once that is taken. OSError: it is not written, and may not be sent."""
         self._change_now("notice", name, line.decode())
 
-    def refuse(self, name: bytes) -> None:
+    def record_refusal(self, name: bytes) -> None:
         """It is owed no more. OSError: it is not written, and the message is owed still."""
         self._change_now("over", name)
 
-    def back(self, name: bytes) -> None:
+    def record_not_run(self, name: bytes) -> None:
         """Its last attempt has not run. OSError: it is queued."""
         self._change("back", name)
 
-    def end(self, name: bytes) -> None:
+    def record_attempt_end(self, name: bytes) -> None:
         """Its last attempt has ended, and may have run. OSError: it is queued."""
         self._change("end", name)
 
-    def over(self, name: bytes) -> None:
+    def record_finished(self, name: bytes) -> None:
         """It is owed no more. OSError: it is queued."""
         self._change("over", name)
 
     def _change_now(self, kind: str, name: bytes, *rest: Any) -> None:
         """Record a change of a message, if it is owed, and apply it; or neither. OSError."""
-        if (message := self.owed.get(name)) is not None:
+        if (message := self.pending.get(name)) is not None:
             self._write(encode_payload([kind, name.decode(), *rest]))
-            self.apply(kind, message, list(rest))
+            self.apply_change(kind, message, list(rest))
 
     def _change(self, kind: str, name: bytes, *rest: Any) -> None:
         """Apply a change of a message, if it is owed, and record it, sooner or later. OSError: later."""
-        if (message := self.owed.get(name)) is not None:
-            self.apply(kind, message, list(rest))
+        if (message := self.pending.get(name)) is not None:
+            self.apply_change(kind, message, list(rest))
             self._queued.append(encode_payload([kind, name.decode(), *rest]))
             self.flush()
 
     def flush(self) -> None:
         """Write what is not in the files as it should be. OSError: some of it is not yet."""
-        if self._renewal_due or self._size_with(self._queued) > self.max_size:
+        if self._renewal_due or self._size_with(self._queued) > self.max_file_bytes:
             self._renew()
         if self._failing and not self._queued:
             self._append(encode_clocks(read_clocks()))  # says nothing new, and shows whether writes succeed
         while self._queued:
             self._append(self._queued[0])
             self._queued.popleft()
-        while self.ended_files:
-            path, file = self.ended_files[0]
+        while self.taken_over_files:
+            path, file = self.taken_over_files[0]
             path.unlink(missing_ok=True)
             os.close(file)
-            self.ended_files.pop(0)
+            self.taken_over_files.pop(0)
 
     def _write(self, *payloads: bytes) -> None:
         """Add records behind all that is queued, or none of them. OSError."""
         self.flush()
-        if self._size_with(payloads) > self.max_size:
+        if self._size_with(payloads) > self.max_file_bytes:
             self._renew()
         self._append(*payloads)
 
@@ -393,16 +397,16 @@
     def _all_payloads(self) -> Iterator[bytes]:
         """Of a file that holds what is owed, and nothing else."""
         yield encode_clocks(read_clocks())
-        for message in self.owed.values():
+        for message in self.pending.values():
             yield encode_message(message)
             yield from encode_accepted(message)
-            if message.out is not None:
+            if message.in_flight_since is not None:
                 yield encode_payload(["sent_to", message.name.decode(), message.route])
             if message.notice:
                 yield encode_payload(["notice", message.name.decode(), message.notice.decode()])
-        for route, until in self.waits.items():
+        for route, until in self.requested_waits.items():
             yield encode_payload(["wait", route, until])
-        for key, until in self.rests.items():
+        for key, until in self.cooldowns.items():
             yield encode_payload(["rest", key, until])
         for route, record in self.routes.items():
             if not is_old(record):
@@ -412,11 +416,11 @@
         """Close the files, and with them release their locks."""
         self._peers.close()
         self._file.close()
-        for _, file in self.ended_files:
+        for _, file in self.taken_over_files:
             os.close(file)
-        self.ended_files = []
+        self.taken_over_files = []
 
 
 def is_old(record: RouteRecord) -> bool:
     """Whether it says nothing any more: the route came back so long ago that it is warm."""
-    return record.back_at is not None and record.back_at < read_clocks().monotonic - ROUTE_KEPT
+    return record.recovered_at is not None and record.recovered_at < read_clocks().monotonic - ROUTE_KEPT
--- a/laureldock/stores/spool_records.py
+++ b/laureldock/stores/spool_records.py
@@ -43,21 +43,22 @@
     """The payload of the record by which a message is owed."""
     fields = [
         "mail", message.name.decode(), message.key, message.queue_class, message.customer,
-        message.tag.decode(), message.destination, message.end, message.attempts, message.ran, message.out,
+        message.tag.decode(), message.destination, message.expires_at, message.attempts,
+        message.first_may_have_run_at, message.in_flight_since,
     ]  # fmt: skip
     return encode_payload(fields, message.body)
 
 
 def encode_accepted(message: StoredMessage) -> list[bytes]:
     """The payload of the record by which a message of a key has its place in it; none without a key."""
-    if message.key is None or message.accepted == -inf:
+    if message.key is None or message.accepted_at == -inf:
         return []
-    return [encode_payload(["accepted", message.name.decode(), message.accepted])]
+    return [encode_payload(["accepted", message.name.decode(), message.accepted_at])]
 
 
 def encode_route(name: str, record: RouteRecord) -> bytes:
     """The payload of the record by which it is told what became of a route."""
-    return encode_payload(["route", name, record.back_at, record.at])
+    return encode_payload(["route", name, record.recovered_at, record.seen_at])
 
 
 def decode_route(fields: list[Any] | tuple[Any, ...], shift: float) -> RouteRecord:
@@ -72,8 +73,8 @@
     message = StoredMessage(
         name.encode(), key, queue_class, customer, tag.encode(), destination, end + shift, body, attempts
     )
-    message.ran = None if ran is None else ran + shift
-    message.out = None if out is None else out + shift
+    message.first_may_have_run_at = None if ran is None else ran + shift
+    message.in_flight_since = None if out is None else out + shift
     return message
 
 
--- a/tests/assembled.py
+++ b/tests/assembled.py
@@ -8,7 +8,7 @@
 import structlog
 from twisted.internet.testing import MemoryReactorClock
 
-from laureldock.assembly import Assembly, Prepared
+from laureldock.assembly import Assembly, PreparedReload
 from laureldock.setup.plan import Plan
 
 
@@ -25,28 +25,28 @@
         folder.mkdir(parents=True, exist_ok=True)
         super().__init__(plan, folder, self.clock, self.faults.append)  # type: ignore[arg-type]
         self.core.log = structlog.wrap_logger(None, processors=[unheard])
-        assert self.listed is not None
-        if self.controlled is not None:  # as if a controller's first snapshot had come, of no entry
-            self.controlled.settled = True
-        self.listed.start()
+        assert self.listed_source is not None
+        if self.controlled_source is not None:  # as if a controller's first snapshot had come, of no entry
+            self.controlled_source.settled = True
+        self.listed_source.start()
 
     def reloaded(self, plan: Plan) -> None:
         """By a file that says this; a destination's kind may change too, as by a controller."""
-        barred = self.reload(Prepared.of(plan))
+        barred = self.reload(PreparedReload.prepare(plan))
         if barred:
             assert all(name.startswith("destination.") and name.endswith(".kind") for name in barred), barred
-            fresh = Prepared.of(plan)
+            fresh = PreparedReload.prepare(plan)
             self.plan = plan
-            self.core.book.update_terms(plan, fresh.terms)
-            assert self.listed is not None
-            self.listed.reread(fresh.listing)
+            self.core.registry.update_terms(plan, fresh.terms)
+            assert self.listed_source is not None
+            self.listed_source.reread(fresh.listing)
 
     def close(self) -> None:
         self.core.store.close()  # type: ignore[attr-defined]
 
     def state(self) -> dict[str, Any]:
         """What it dispatches by, in names alone."""
-        book, control = self.core.book, self.core.control
+        book, control = self.core.registry, self.core.policy
         numbers = {owner: number for number, owner in book.destinations.items()}
         names = {kind: name for name, kind in book.classes.items()}
         routes = {
@@ -69,7 +69,7 @@
             for name, kind in book.classes.items()
             for number in book.destinations
         }
-        figures = self.core.operators_figures()
+        figures = self.core.operator_metrics()
         told = ("endpoints_known", "endpoints_excluded", "in_flight", "ready")
         return {
             "routes": routes,
@@ -77,7 +77,7 @@
             "customers": {name: each.quota for name, each in book.customers.items()},
             "terms": terms,
             "lines": lines,
-            "dials": {route.name: pool.dial for route, pool in self.receivers.pools.items()},
-            "held": self.listed.held if self.listed else None,
+            "dials": {route.name: pool.dial for route, pool in self.carrier.pools.items()},
+            "held": self.listed_source.held if self.listed_source else None,
             "figures": {name: figures[name] for name in told},
         }
--- a/tests/test_changes_in_flight.py
+++ b/tests/test_changes_in_flight.py
@@ -13,7 +13,7 @@
 from test_catalog import BASE, CHANGES, calls_of, destination, endpoint, put, removal, terms
 
 from laureldock import interface
-from laureldock.assembly import Prepared
+from laureldock.assembly import PreparedReload
 from laureldock.setup.catalog import RefusedChangeError
 from laureldock.setup.changes import Change, ClassEntry, ClassSettings, CustomerEntry
 from laureldock.setup.plan import Customer
@@ -37,9 +37,9 @@
 
 
 def taken(dispatcher: Assembled, customer: str = "") -> interface.Message:
-    book, core = dispatcher.core.book, dispatcher.core
+    book, core = dispatcher.core.registry, dispatcher.core
     mail = book.new_message(book.classes["news"], "north", 9.0, customer)
-    core.control.message_accepted(core.now(), mail)
+    core.policy.message_accepted(core.now(), mail)
     return mail
 
 
@@ -67,21 +67,21 @@
     dispatcher.apply_change(put(endpoint("n1", "north"), endpoint("s1", "south", 9002)))
     mail = taken(dispatcher)
     dispatcher.apply_change(removal("endpoint.n1"))
-    assert dispatcher.core.control.destination_states[mail.destination].route_states == {}
+    assert dispatcher.core.policy.destination_states[mail.destination].route_states == {}
     dispatcher.apply_change(put(endpoint("n2", "north", 9003)))
-    lanes = dispatcher.core.control.destination_states[mail.destination].route_states
+    lanes = dispatcher.core.policy.destination_states[mail.destination].route_states
     assert [route.name for route in lanes] == ["n2"]
-    assert mail.destination is dispatcher.core.book.destination("north")
+    assert mail.destination is dispatcher.core.registry.destination("north")
 
 
 def test_an_endpoint_that_only_moves_its_address_keeps_what_was_learned(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north", 9001)))
-    route = dispatcher.core.book.routes["n1"]
+    route = dispatcher.core.registry.routes["n1"]
     lane = route.policy_state
     dispatcher.apply_change(put(endpoint("n1", "north", 9002, time_out=Seconds(2))))
-    assert dispatcher.core.book.routes["n1"] is route and route.policy_state is lane
-    assert dispatcher.receivers.pools[route].dial == "127.0.0.1:9002"
+    assert dispatcher.core.registry.routes["n1"] is route and route.policy_state is lane
+    assert dispatcher.carrier.pools[route].dial == "127.0.0.1:9002"
     assert list(route.timeouts.values()) == [2.0, 2.0]
 
 
@@ -98,15 +98,15 @@
 def test_nothing_is_kept_in_pools_and_caches_of_what_is_gone(start: Start) -> None:
     """What remains of a destination that had endpoints is its line, for mails that may still be owed."""
     dispatcher = start("one")
-    book = dispatcher.core.book
+    book = dispatcher.core.registry
     gone = Change()
     for number in range(200):
         puts = (endpoint("n1", f"d{number}"), destination(f"d{number}", "shop"))
         dispatcher.apply_change(Change(puts, gone.removals))
         gone = removal(f"destination.d{number}")
         book.new_message(book.classes["news"], f"d{number}", 1.0)
-    assert dispatcher.catalog is not None and dispatcher.listed is not None
-    sizes = [len(dispatcher.catalog), len(dispatcher.listed.held), len(dispatcher.receivers.pools)]
+    assert dispatcher.catalog is not None and dispatcher.listed_source is not None
+    sizes = [len(dispatcher.catalog), len(dispatcher.listed_source.held), len(dispatcher.carrier.pools)]
     assert sizes == [2, 1, 1] and len(dispatcher.catalog.endpoint_names) == 1
     assert [len(book.routes), len(book.terms), len(book.kind_names)] == [1, 1, 1]
 
@@ -124,13 +124,13 @@
 def test_a_file_read_again_keeps_what_the_controller_told(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north", time_out=Seconds(2)), destination("north", "shop")))
-    route = dispatcher.core.book.routes["n1"]
+    route = dispatcher.core.registry.routes["n1"]
     assert route.window == 4
     kinds = {**BASE.kinds, "shop": structs.replace(BASE.kinds["shop"], window=5)}
-    assert dispatcher.reload(Prepared.of(structs.replace(BASE, kinds=kinds))) == []
-    assert route.window == 5 and dispatcher.core.book.routes == {"n1": route}
+    assert dispatcher.reload(PreparedReload.prepare(structs.replace(BASE, kinds=kinds))) == []
+    assert route.window == 5 and dispatcher.core.registry.routes == {"n1": route}
     dispatcher.apply_change(put(endpoint("n2", "north", 9002), destination("north", "shop", window=3)))
-    assert [each.window for each in dispatcher.core.book.routes.values()] == [3, 3]
+    assert [each.window for each in dispatcher.core.registry.routes.values()] == [3, 3]
 
 
 def test_a_file_read_again_that_disagrees_with_what_was_told_is_not_taken(start: Start) -> None:
@@ -138,7 +138,9 @@
     dispatcher.apply_change(put(endpoint("n1", "north", time_out=Seconds(2))))
     before = dispatcher.state()
     news = structs.replace(BASE.classes["news"], time_out=Seconds(3))
-    told = dispatcher.reload(Prepared.of(structs.replace(BASE, classes=BASE.classes | {"news": news})))
+    told = dispatcher.reload(
+        PreparedReload.prepare(structs.replace(BASE, classes=BASE.classes | {"news": news}))
+    )
     assert told and "equally specific" in told[0] and dispatcher.state() == before
     assert dispatcher.core.counters["configurations refused"] == 1
     dispatcher.apply_change(removal("endpoint.n1"))
@@ -160,7 +162,7 @@
             terms(queue_class="news", destination="d2", time_out=Seconds(7)),
         ]
     )
-    book = dispatcher.core.book
+    book = dispatcher.core.registry
     news = book.classes["news"]
     for seconds in (3.0, 4.0):
         dispatcher.apply_change(put(ClassEntry("news", ClassSettings(time_out=Seconds(seconds)))))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -447,7 +447,7 @@
     path.write_text(BASE + customers.format(quota=1.0))
     dispatcher = Assembled(load(str(path)).plan, tmp_path / "state")
     try:
-        book = dispatcher.core.book
+        book = dispatcher.core.registry
         kept, route = book.customers["kept"], book.routes["s1"]
         path.write_text(BASE + 'zone = "b"\n' + customers.format(quota=3.0))
         dispatcher.reloaded(load(str(path)).plan)
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -275,7 +275,7 @@
     kept = Kept(tmp_path / "configuration")
     kept.snapshot(5, *(f"name{number}" for number in range(2000)))
     beside, alone = Spool(tmp_path, 1e5), Spool(tmp_path / "configuration", 1e5)
-    assert beside.unknown_files() == [] and not beside.sharing
+    assert beside.unknown_files() == [] and not beside.is_shared
 
     def room(spool: Spool) -> int:
         spool.open()
@@ -283,7 +283,7 @@
             StoredMessage(b"m%d" % number, None, "news", "", b"", 7, 1e12, b"x" * 100)
             for number in range(999)
         )
-        return sum(spool.take(mail) for mail in mails)
+        return sum(spool.accept(mail) for mail in mails)
 
     assert 0 < room(beside) == room(alone) < 999
     beside.close()
--- a/tests/test_controller_stream.py
+++ b/tests/test_controller_stream.py
@@ -254,13 +254,13 @@
     def now(self) -> float:
         return float(self.rig.reactor.seconds())
 
-    def later(self, after: float, call: Any, *args: Any) -> Any:
+    def call_later(self, after: float, call: Any, *args: Any) -> Any:
         return self.rig.reactor.callLater(after, call, *args)
 
     def guard(self, call: Any, *args: Any) -> Any:
         return call(*args)
 
-    def news(self, hosts: list[tuple[ListedEndpoint, str]], whole: bool) -> None:
+    def list_updated(self, hosts: list[tuple[ListedEndpoint, str]], whole: bool) -> None:
         self.told.append((len(hosts), whole))
 
 
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -11,7 +11,7 @@
 import pytest
 from shore import Peer, Shore
 
-from laureldock.core.ends import End
+from laureldock.core.call_results import CallResult
 from laureldock.interface import Attempt
 from laureldock.sockets import httpline
 
@@ -38,7 +38,7 @@
     """A connection at rest, that has carried a call."""
     taken(shore, "first", "news")
     link = shore.serve("first")
-    shore.until(lambda: not shore.core.store.owed and shore.assembly.receivers.pools)
+    shore.until(lambda: not shore.core.store.pending and shore.assembly.carrier.pools)
     return link
 
 
@@ -92,7 +92,7 @@
     elif end == "reset":
         shore.spend(0.05)
         link.reset()
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert shore.core.counters["relayed"] == served
     if served:  # at once: it once held its slot, and its key, up to the time-out
         assert time.monotonic() - began < 0.4
@@ -108,7 +108,7 @@
     shore.spend(0.1)
     taken(shore, "a")
     shore.serve("a")
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert ends(shore) == {"200": 2} and not shore.platform.notices
 
 
@@ -123,9 +123,9 @@
     taken(shore, "a")
     shore.until(lambda: len(shore.receiver.peers) == 2)
     shore.serve("a")
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert shore.calls().count("a") == 1  # nothing of it went out on the first
-    assert ends(shore) == {"200": 2, End.UNREACHED.value: 1}
+    assert ends(shore) == {"200": 2, CallResult.NOT_CONNECTED.value: 1}
 
 
 @pytest.mark.parametrize("how", [Peer.close, Peer.reset])
@@ -138,8 +138,8 @@
     taken(shore, "a")
     shore.until(lambda: len(shore.receiver.peers) == 2)
     shore.serve("a")
-    shore.until(lambda: not shore.core.store.owed)
-    assert ends(shore) == {"200": 2, End.UNREACHED.value: 1} and not shore.platform.notices
+    shore.until(lambda: not shore.core.store.pending)
+    assert ends(shore) == {"200": 2, CallResult.NOT_CONNECTED.value: 1} and not shore.platform.notices
 
 
 def test_a_connection_reset_as_the_last_byte_has_left_may_have_run(
@@ -150,7 +150,7 @@
     taken(shore, "a")
     shore.until(lambda: shore.platform.notices)
     assert shore.platform.notices == ['{"message":"a","outcome":"given_up"}']
-    assert ends(shore) == {"200": 1, End.BROKEN.value: 1} and len(shore.receiver.peers) == 1
+    assert ends(shore) == {"200": 1, CallResult.CONNECTION_LOST.value: 1} and len(shore.receiver.peers) == 1
 
 
 def test_a_connection_that_comes_up_after_its_mail_has_ended_carries_nothing(
@@ -169,7 +169,7 @@
     errand.go(line)
     shore.spend(0.2)
     assert shore.calls() == [] and json.loads(shore.platform.notices[0])["outcome"] == "handed_back"
-    assert shore.assembly.receivers.out == 0
+    assert shore.assembly.carrier.attempts_in_flight == 0
 
 
 def test_an_answer_that_lies_in_the_kernel_in_the_turn_of_the_time_out(shore: Shore) -> None:
@@ -177,7 +177,7 @@
     link = shore.call("a")
     link.send(SERVED)
     time.sleep(1.2)  # a stall of the process, past the time-out
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert ends(shore) == {"200": 1} and not shore.platform.notices
 
 
@@ -191,9 +191,9 @@
     link = shore.call("a")
     link.send(SERVED)
     time.sleep(0.9)
-    shore.until(lambda: not shore.core.store.owed and not shore.core.outlet.waiting)
+    shore.until(lambda: not shore.core.store.pending and not shore.core.outlet.pending_count)
     assert [json.loads(line)["outcome"] for line in shore.platform.notices] == [outcome]
-    assert ends(shore) == {End.TOO_LATE.value: 1}
+    assert ends(shore) == {CallResult.DELIVERED_LATE.value: 1}
     assert shore.core.counters["relayed"] == 0 and len(shore.receiver.peers) == 1
 
 
@@ -201,21 +201,21 @@
     """Read before the decision was carried out, it is the end of the mail."""
     taken(shore, "a", "charge")
     link = shore.call("a")
-    attempt: Attempt = next(iter(shore.assembly.receivers.errands))
+    attempt: Attempt = next(iter(shore.assembly.carrier.errands))
     link.send(SERVED)
-    shore.assembly.receivers.cancel(attempt)
-    shore.until(lambda: not shore.core.store.owed)
+    shore.assembly.carrier.cancel_attempt(attempt)
+    shore.until(lambda: not shore.core.store.pending)
     assert ends(shore) == {"200": 1} and not shore.platform.notices
 
 
 def test_a_call_called_off_with_half_an_answer_come_is_not_waited_for_without_end(shore: Shore) -> None:
     taken(shore, "a", "charge")
     link = shore.call("a")
-    attempt: Attempt = next(iter(shore.assembly.receivers.errands))
+    attempt: Attempt = next(iter(shore.assembly.carrier.errands))
     link.send(b"HTTP/1.1 20")
-    shore.assembly.receivers.cancel(attempt)
-    shore.until(lambda: not shore.core.store.owed, most=1.0)
-    assert ends(shore) == {End.CALLED_OFF.value: 1}
+    shore.assembly.carrier.cancel_attempt(attempt)
+    shore.until(lambda: not shore.core.store.pending, most=1.0)
+    assert ends(shore) == {CallResult.CANCELLED.value: 1}
     assert shore.platform.notices == ['{"message":"a","outcome":"given_up"}']
 
 
@@ -232,7 +232,7 @@
         link = shore.call(name)
         until_given_up(shore, link)
         link.send(SERVED)
-        shore.until(lambda: not shore.core.store.owed and not shore.core.outlet.waiting)
+        shore.until(lambda: not shore.core.store.pending and not shore.core.outlet.pending_count)
     assert ends(shore) == {"200": 2} and not shore.platform.notices
 
 
@@ -242,7 +242,7 @@
     link = shore.call("a")
     until_given_up(shore, link)
     link.send(SERVED)
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert ends(shore) == {"200": 1} and shore.calls() == ["a"]
 
 
@@ -250,10 +250,10 @@
     """The connection of a call that was cancelled, and answered as that was seen."""
     taken(shore, "a", "charge")
     link = shore.call("a")
-    shore.assembly.receivers.cancel(next(iter(shore.assembly.receivers.errands)))
+    shore.assembly.carrier.cancel_attempt(next(iter(shore.assembly.carrier.errands)))
     until_given_up(shore, link)
     link.send(SERVED)
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     return link
 
 
@@ -266,7 +266,7 @@
     link = served_after_its_cancel(shore)
     taken(shore, "b", "news")
     assert shore.serve("b") is not link
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert ends(shore) == {"200": 2}  # nothing was tried on it
 
 
@@ -275,9 +275,9 @@
     taken(shore, "a", "charge", left=800)
     began, link = time.monotonic(), shore.call("a")
     shore.until(lambda: shore.platform.notices)
-    assert time.monotonic() - began < 0.85 and ends(shore) == {End.SILENT.value: 1}
+    assert time.monotonic() - began < 0.85 and ends(shore) == {CallResult.TIMED_OUT.value: 1}
     shore.spend(0.05)
     link.send(SERVED)
     shore.spend(0.05)
     assert shore.platform.notices == ['{"message":"a","outcome":"given_up"}']
-    assert ends(shore) == {End.SILENT.value: 1} and not shore.core.store.owed
+    assert ends(shore) == {CallResult.TIMED_OUT.value: 1} and not shore.core.store.pending
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -21,7 +21,7 @@
 
 
 def by_stop(shore: Shore, peer: Peer) -> None:
-    shore.front.shut()
+    shore.front.stop_accepting()
 
 
 def by_lameduck(shore: Shore, peer: Peer) -> None:
@@ -138,7 +138,7 @@
     peers = [shore.client(ping=False) for _ in range(9)]
     for number, peer in enumerate(peers):
         peer.send(shore.put(f"m{number}"))
-    shore.front.shut()
+    shore.front.stop_accepting()
     shore.until(lambda: all(peer.pull() and peer.ended for peer in peers))
     assert {(peer.got, peer.ended) for peer in peers} == {(OK, "closed")}
 
--- a/tests/test_crossing_exit.py
+++ b/tests/test_crossing_exit.py
@@ -45,13 +45,13 @@
 
 # Each step of a mail by the call that takes it, and when a call is that step.
 STEPS: dict[str, tuple[type, str, Callable[..., bool]]] = {
-    "store written": (Spool, "take", lambda *_: True),
-    "attempt noted": (Spool, "out", lambda *_: True),
+    "store written": (Spool, "accept", lambda *_: True),
+    "attempt noted": (Spool, "record_attempt_start", lambda *_: True),
     "last byte out": (HttpLine, "all_written", lambda line: isinstance(line.reader, Errand)),
     "answer read": (Errand, "finish", lambda *_: False),
     "+OK written": (Client, "answered", lambda client: client.pending is not None),
-    "end noted": (Spool, "over", lambda *_: True),
-    "notice noted": (Spool, "notice", lambda *_: True),
+    "end noted": (Spool, "record_finished", lambda *_: True),
+    "notice noted": (Spool, "record_notice", lambda *_: True),
     "notice sent": (Notices, "written_out", lambda *_: True),
     "notice answered": (Notices, "answered", lambda *_: False),
 }
@@ -118,8 +118,8 @@
     shore.ready()
     answered: set[Peer] = set()
     end = time.monotonic() + 6
-    while shore.core.store.owed or shore.core.outlet.waiting:
-        assert time.monotonic() < end, (shore.core.counters, shore.core.store.owed)
+    while shore.core.store.pending or shore.core.outlet.pending_count:
+        assert time.monotonic() < end, (shore.core.counters, shore.core.store.pending)
         answer_calls(shore, answered, answer)
         shore.step(0.002)
     calls, notices = shore.calls().count("a"), [json.loads(line) for line in shore.platform.notices]
@@ -135,11 +135,11 @@
     if step in ("store written", "+OK written"):  # untried then, and tried
         assert calls
     # The key is free for the next once it has rested for a call that the kill, or a time-out, has broken.
-    rested = time.monotonic() + shore.core.tariff.key_cooldown_time + 0.1
-    while shore.core.control.key_queues:
-        assert time.monotonic() < rested, shore.core.control.key_queues
+    rested = time.monotonic() + shore.core.settings.key_cooldown_time + 0.1
+    while shore.core.policy.key_queues:
+        assert time.monotonic() < rested, shore.core.policy.key_queues
         shore.step(0.002)
-        shore.core.turn()  # as any event brings
+        shore.core.run_turn()  # as any event brings
 
 
 def test_a_notice_unanswered_at_the_kill_is_sent_again_and_clients_come_meanwhile(shore: Shore) -> None:
@@ -149,14 +149,14 @@
     shore.receiver.door.close()
     peer = shore.client()
     peer.send(shore.put("a", left=300))
-    shore.until(lambda: peer.pull() == OK and shore.core.outlet.waiting)
+    shore.until(lambda: peer.pull() == OK and shore.core.outlet.pending_count)
     shore.kill()
     shore.ready()  # nobody answers notices
     other = shore.client()
     other.send(b"PING\r\n")
     shore.until(lambda: other.pull() == b"+PONG\r\n")
     shore.platform.takes_notices = True
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert [json.loads(line)["message"] for line in shore.platform.notices] == ["a"]
 
 
@@ -177,7 +177,7 @@
     posts[0].send(b"HTTP/1.1 204 No Con")
     posts[0].reset()
     shore.platform.takes_notices = True
-    shore.until(lambda: not shore.core.store.owed and not shore.core.outlet.waiting)
+    shore.until(lambda: not shore.core.store.pending and not shore.core.outlet.pending_count)
     assert [json.loads(line)["message"] for line in shore.platform.notices] == ["a"]
 
 
@@ -193,11 +193,11 @@
     over: list[bool] = []
     shore.core.stop(lambda: over.append(True))
     shore.until(lambda: over, most=4.0)
-    assert not shore.core.ready and list(shore.core.store.owed) == [b"a"]
+    assert not shore.core.ready and list(shore.core.store.pending) == [b"a"]
     shore.kill()
     shore.platform.lists = True
     shore.ready()
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert [json.loads(line)["outcome"] for line in shore.platform.notices] == ["given_up"]
 
 
@@ -211,14 +211,16 @@
         peer.got = b""
         peer.send(shore.put(name, "charge", left=6000))
         shore.until(lambda: peer.pull() == OK)
-    untried = [mail.name.decode() for mail in shore.core.store.owed.values() if mail.out is None]
+    untried = [
+        mail.name.decode() for mail in shore.core.store.pending.values() if mail.in_flight_since is None
+    ]
     assert len(untried) > 8
     shore.kill()
     began, answered = time.monotonic(), set[Peer]()
     for link in shore.receiver.peers:
         link.close()
     shore.ready()
-    while shore.core.store.owed:
+    while shore.core.store.pending:
         assert time.monotonic() - began < 3.0, shore.core.counters  # half of their time
         answer_calls(shore, answered, SERVED)
         for link in list(answered):  # further calls on kept connections
@@ -235,9 +237,9 @@
     shore.ready()
     for number in range(2000):
         name = b"n%d" % number
-        took = shore.core.store.take(owed(name))
-        shore.core.store.notice(name, b'{"message":"x"}\n') if took and number % 2 else None
-    many = len(shore.core.store.owed)
+        took = shore.core.store.accept(owed(name))
+        shore.core.store.record_notice(name, b'{"message":"x"}\n') if took and number % 2 else None
+    many = len(shore.core.store.pending)
     assert many > 700
     shore.kill()
     shore.platform.lists = shore.platform.takes_notices = False
@@ -245,7 +247,7 @@
     shore.begin()
     shore.until(lambda: shore.core.ready, most=10.0)
     assert time.monotonic() - began < 5.0
-    assert len(shore.core.held) == many
+    assert len(shore.core.held_messages) == many
     peer = shore.client()
     peer.send(b"PING\r\n")
     shore.until(lambda: peer.pull() == b"+PONG\r\n")
@@ -401,7 +403,7 @@
     shore.settle()
     names = [f"m{number}" for number in range(60)]
     for name in names:
-        assert shore.core.store.take(owed(name.encode(), "news", 6.0, ""))
+        assert shore.core.store.accept(owed(name.encode(), "news", 6.0, ""))
     shore.kill()
     port = int(shore.receiver.address.rpartition(":")[2])
     if down == "discovery":
@@ -410,7 +412,7 @@
         shore.receiver.door.close()
     began, seen = time.monotonic(), dict[Peer, int]()
     shore.ready()
-    while shore.core.store.owed:
+    while shore.core.store.pending:
         assert time.monotonic() - began < 7.0
         if (
             down == "all routes at first"
@@ -442,9 +444,9 @@
             process.prepare(folder, platform)
             spool = Spool(folder / "state", 1e6)
             spool.open()
-            while spool.take(owed(b"n%d" % len(spool.owed), "order", 60.0)):
+            while spool.accept(owed(b"n%d" % len(spool.pending), "order", 60.0)):
                 pass
-            assert len(spool.owed) > 700
+            assert len(spool.pending) > 700
             spool.close()
             processes.append(process)
         began = time.monotonic()
@@ -472,15 +474,15 @@
     shore.receiver.door.close()
     peer = shore.client()
     peer.send(shore.put("a", "order", key="k", left=300))
-    shore.until(lambda: peer.pull() == OK and shore.core.outlet.waiting)
+    shore.until(lambda: peer.pull() == OK and shore.core.outlet.pending_count)
     over: list[float] = []
     began = time.monotonic()
     shore.core.stop(lambda: over.append(time.monotonic() - began))
     shore.until(lambda: over, most=4.0)
-    assert over[0] < 3.7 and list(shore.core.store.owed) == [b"a"]
+    assert over[0] < 3.7 and list(shore.core.store.pending) == [b"a"]
     shore.kill()
     shore.platform.takes_notices = True
     shore.ready()
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert [json.loads(line)["message"] for line in shore.platform.notices] == ["a"]
-    assert not shore.core.control.key_queues
+    assert not shore.core.policy.key_queues
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -95,7 +95,7 @@
     watch.asked = False
     quay.lines.clear()
     agent = Agent(quay, list(troubles))
-    route = quay.dispatcher.book.routes["r1"]
+    route = quay.dispatcher.registry.routes["r1"]
     while route.listed_state is ListedState.UP:
         assert quay.now < 100 + TOLD, quay.lines
         quay.after(0.05)
@@ -124,7 +124,7 @@
     watch.send({"nothing": b"", "half a head": answer[:25], "half a body": answer[:-40]}[told])
     shore.spend(0.3)
     shore.platform.lists = True
-    route = shore.core.book.routes["r1"]
+    route = shore.core.registry.routes["r1"]
     shore.until(lambda: route.listed_state is ListedState.DRAINING)
     assert time.monotonic() - began < TOLD
     assert watch.pull() is not None and watch.ended  # the silent connection is not kept
@@ -137,7 +137,7 @@
     for byte in Platform.answer(shore.platform.hosts, indent=4):
         watch.send(bytes([byte]))
         shore.step()
-    route = shore.core.book.routes["r1"]
+    route = shore.core.registry.routes["r1"]
     shore.until(lambda: route.listed_state is ListedState.DRAINING)
     assert shore.core.counters["list failures"] == 0
 
@@ -147,7 +147,7 @@
     watch, began = shore.platform.silence(), time.monotonic()
     shore.announce("Terminating", seq=2)
     watch.send(b'HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n{"seq":2,"whole":true,"hosts":[')
-    route = shore.core.book.routes["r1"]
+    route = shore.core.registry.routes["r1"]
     asks = len(shore.platform.asks)
     while len(shore.platform.asks) == asks:
         assert time.monotonic() - began < TOLD and route.listed_state is ListedState.UP
@@ -183,7 +183,7 @@
     failures = shore.core.counters["list failures"]
     shore.until(lambda: shore.core.counters["list failures"] >= failures + 3)
     assert 0.3 < time.monotonic() - began < 3.0
-    assert shore.core.book.routes["r1"].listed_state is ListedState.UP and shore.core.ready
+    assert shore.core.registry.routes["r1"].listed_state is ListedState.UP and shore.core.ready
     if how == "refused":
         shore.platform.door.close()
         shore.platform.door = socket.create_server((host, port))
@@ -194,7 +194,7 @@
         door.listen(64)
         del shore.platform.accept
     shore.platform.lists, back = True, time.monotonic()
-    shore.until(lambda: shore.core.book.routes["r1"].listed_state is ListedState.DRAINING)
+    shore.until(lambda: shore.core.registry.routes["r1"].listed_state is ListedState.DRAINING)
     assert time.monotonic() - back < 2.0
 
 
@@ -208,12 +208,12 @@
     source, outlet = replace(plan.source, address=there), replace(plan.outlet, address=there)
     shore.announce("Terminating", seq=9)
     watch.send(Platform.answer(old.hosts))  # in the kernel as the move is read
-    shore.assembly.retold(replace(plan, source=source, outlet=outlet))
+    shore.assembly.apply_platform_settings(replace(plan, source=source, outlet=outlet))
     try:
         shore.platform = new
         shore.until(lambda: any("wait_ms=2" in query for _, query, _ in new.asks))
         assert "after" not in new.asks[0][1]  # its versions are its own
-        assert shore.core.book.routes["r1"].listed_state is ListedState.UP
+        assert shore.core.registry.routes["r1"].listed_state is ListedState.UP
     finally:
         shore.platform = old
         new.close()
@@ -230,7 +230,7 @@
         peer.send(shore.put("a"))
         shore.until(lambda: peer.pull() == OK)
         shore.serve("a")
-        shore.until(lambda: not shore.core.store.owed)
+        shore.until(lambda: not shore.core.store.pending)
     finally:
         shore.end()
 
@@ -242,30 +242,30 @@
     watch = shore.platform.silence()
     peer = shore.client()
     calls: list[Callable[[], None]] = []
-    hold = shore.core.may_begin
+    hold = shore.core.may_start
 
     def asked(attempt: object, held: object) -> bool:
         """The last look before the call's first byte: the list is read there, or right after it."""
-        shore.core.may_begin = hold  # type: ignore[method-assign]
+        shore.core.may_start = hold  # type: ignore[method-assign]
         shore.announce("Terminating", seq=2)
         news = read(shore.platform.hosts)[2]
         if first == "drain":
-            shore.core.news(news, True)
+            shore.core.list_updated(news, True)
             return hold(attempt, held)  # type: ignore[arg-type]
         may = hold(attempt, held)  # type: ignore[arg-type]
-        calls.append(lambda: shore.core.news(news, True))
+        calls.append(lambda: shore.core.list_updated(news, True))
         return may
 
-    shore.core.may_begin = asked  # type: ignore[method-assign]
+    shore.core.may_start = asked  # type: ignore[method-assign]
     peer.send(shore.put("a", left=1500))
-    shore.until(lambda: peer.pull() == OK and shore.core.may_begin == hold)
+    shore.until(lambda: peer.pull() == OK and shore.core.may_start == hold)
     for call in calls:
         call()
     shore.spend(0.3)
     assert shore.calls() == (["a"] if first == "call" else [])
     if first == "call":
         shore.serve("a")
-        shore.until(lambda: not shore.core.store.owed)
+        shore.until(lambda: not shore.core.store.pending)
     else:
         shore.until(lambda: shore.platform.notices)
         assert '"handed_back"' in shore.platform.notices[0]
--- a/tests/test_crossing_room.py
+++ b/tests/test_crossing_room.py
@@ -52,16 +52,16 @@
         {**shore.platform.hosts["hosts"][0], "host": "r9", "health": "Terminating"}
     )
     shore.platform.lists, back = True, time.monotonic()
-    shore.until(lambda: "r9" in shore.core.book.routes)
+    shore.until(lambda: "r9" in shore.core.registry.routes)
     assert time.monotonic() - back < 1.0
-    assert shore.core.book.routes["r9"].listed_state is ListedState.DRAINING
+    assert shore.core.registry.routes["r9"].listed_state is ListedState.DRAINING
     peer = connected(shore)
     shore.until(lambda: peer.pull() == PONG)
     peer.got = b""
     peer.send(shore.put("a", "charge"))
     shore.until(lambda: peer.pull() == OK)
     shore.serve("a")
-    shore.until(lambda: not shore.core.store.owed)
+    shore.until(lambda: not shore.core.store.pending)
     assert not shore.core.counters["faults"]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,24 +21,26 @@
 def test_the_next_process_writes_its_own_file_and_takes_over_what_the_last_one_leaves(tmp_path: Path) -> None:
     old = Spool(tmp_path, 3e6)
     old.open()
-    assert old.take(mail(b"a", "k1")) and old.take(mail(b"b", "k2")) and old.take(mail(b"c"))
+    assert old.accept(mail(b"a", "k1")) and old.accept(mail(b"b", "k2")) and old.accept(mail(b"c"))
     new = Spool(tmp_path, 3e6)
     new.open()
-    assert new.sharing and new.path.name == "spool.1" and not new.owed
-    assert new.take(mail(b"d", "k1"))
-    assert sorted(new.read_peers().keys) == ["k1", "k2"]
-    assert [*old.read_peers().keys] == ["k1"]  # the old one sees the new file too
-    old.over(b"b")
-    assert [*new.read_peers().keys] == ["k1"] and new.adopt() == []  # still alive: nothing is taken
+    assert new.is_shared and new.path.name == "spool.1" and not new.pending
+    assert new.accept(mail(b"d", "k1"))
+    assert sorted(new.read_peers().accepted_by_key) == ["k1", "k2"]
+    assert [*old.read_peers().accepted_by_key] == ["k1"]  # the old one sees the new file too
+    old.record_finished(b"b")
+    assert [*new.read_peers().accepted_by_key] == [
+        "k1"
+    ] and new.adopt() == []  # still alive: nothing is taken
 
     old.close()  # its process ends, and with it the lock
     assert sorted(owed.name for owed in new.adopt()) == [b"a", b"c"]
-    assert not new.sharing and new.path.name == "spool.1" and not new.read_peers().keys
+    assert not new.is_shared and new.path.name == "spool.1" and not new.read_peers().accepted_by_key
     assert sorted(path.name for path in tmp_path.iterdir()) == [
         "spool.1"
     ]  # a name is never taken from another
     new.close()
-    assert sorted(Spool(tmp_path, 3e6, writes=False).owed) == [b"a", b"c", b"d"]
+    assert sorted(Spool(tmp_path, 3e6, writes=False).pending) == [b"a", b"c", b"d"]
 
 
 def test_a_file_left_by_a_process_that_died_is_taken_over_at_the_start(tmp_path: Path) -> None:
@@ -46,29 +48,29 @@
     old.open()
     new = Spool(tmp_path, 3e6)
     new.open()
-    assert new.take(mail(b"n"))
-    old.take(mail(b"o"))
+    assert new.accept(mail(b"n"))
+    old.accept(mail(b"o"))
     new.close()
     old.close()  # both gone: the next start owes what each had
     again = Spool(tmp_path, 3e6)
     again.open()
-    assert sorted(again.owed) == [b"n", b"o"] and not again.sharing
+    assert sorted(again.pending) == [b"n", b"o"] and not again.is_shared
     assert sorted(path.name for path in tmp_path.iterdir()) == ["spool"]
 
 
 def test_a_wait_told_to_one_process_is_read_by_the_other(tmp_path: Path) -> None:
     old = Spool(tmp_path, 3e6)
     old.open()
-    old.wait("r1", 50.0, now=40.0)
-    old.wait("r2", 60.0, now=55.0)
+    old.record_requested_wait("r1", 50.0, now=40.0)
+    old.record_requested_wait("r2", 60.0, now=55.0)
     old._renew()  # what is over goes, what binds stays
     new = Spool(tmp_path, 3e6)
     new.open()
-    assert new.read_peers().waits == {"r2": 60.0}
-    new.wait("r3", 70.0, now=55.0)
-    old.wait("r2", 65.0, now=55.0)
-    assert (old.read_peers().keys, old.read_peers().waits) == ({}, {"r3": 70.0})
-    assert (new.read_peers().keys, new.read_peers().waits) == ({}, {"r2": 65.0})
+    assert new.read_peers().requested_waits == {"r2": 60.0}
+    new.record_requested_wait("r3", 70.0, now=55.0)
+    old.record_requested_wait("r2", 65.0, now=55.0)
+    assert (old.read_peers().accepted_by_key, old.read_peers().requested_waits) == ({}, {"r3": 70.0})
+    assert (new.read_peers().accepted_by_key, new.read_peers().requested_waits) == ({}, {"r2": 65.0})
 
 
 def test_nothing_goes_to_a_route_that_told_the_other_process_to_wait(
@@ -76,13 +78,13 @@
 ) -> None:
     """A new process beside the old one sent what the old one had been told to hold."""
     quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.handed_down = True
+    quay.dispatcher.shares_listening_socket = True
     beside = Spool(quay.state, 1e6)
     beside.open()
     store: Any = quay.dispatcher.store
-    store.held.append(beside.path)  # as if it had been there at the start
+    store.peer_paths.append(beside.path)  # as if it had been there at the start
     quay.dispatcher.recovery.watch_processes()
-    beside.wait("r1", quay.dispatcher.now() + 0.5, now=0.0)
+    beside.record_requested_wait("r1", quay.dispatcher.now() + 0.5, now=0.0)
     quay.after(0.1)
     quay.put(quay.client(), "m")
     quay.after(0.2)
@@ -97,24 +99,24 @@
     """A failure in the middle once left messages owed by the file and held by nobody until the next start."""
     old = Spool(tmp_path, 3e6)
     old.open()
-    assert old.take(mail(b"a")) and old.take(mail(b"b"))
+    assert old.accept(mail(b"a")) and old.accept(mail(b"b"))
     new = Spool(tmp_path, 3e6)
     new.open()
-    assert new.take(mail(b"c"))
+    assert new.accept(mail(b"c"))
     old.close()
     with monkeypatch.context() as failing:
         failing.setattr(Path, "read_bytes", refuse)
-        assert new.adopt() == [] and new.sharing
+        assert new.adopt() == [] and new.is_shared
     with monkeypatch.context() as failing:
         failing.setattr(os, "pwrite", refuse)
         failing.setattr(os, "rename", refuse)
         assert sorted(owed.name for owed in new.adopt()) == [b"a", b"b"]
-        assert new.behind and not new.sharing
-        assert not new.take(mail(b"d"))  # nothing is told before it is recorded
+        assert new.has_unwritten and not new.is_shared
+        assert not new.accept(mail(b"d"))  # nothing is told before it is recorded
     assert new.adopt() == []  # once
-    assert not new.behind and sorted(path.name for path in tmp_path.iterdir()) == ["spool.1"]
+    assert not new.has_unwritten and sorted(path.name for path in tmp_path.iterdir()) == ["spool.1"]
     new.close()
-    assert sorted(Spool(tmp_path, 3e6, writes=False).owed) == [b"a", b"b", b"c"]
+    assert sorted(Spool(tmp_path, 3e6, writes=False).pending) == [b"a", b"b", b"c"]
 
 
 def test_a_file_of_an_ended_process_that_cannot_be_removed_holds_up_all_records(
@@ -123,7 +125,7 @@
     """Else what is over here would be owed again by the next start, which reads that file too."""
     old = Spool(tmp_path, 3e6)
     old.open()
-    assert old.take(mail(b"a"))
+    assert old.accept(mail(b"a"))
     new = Spool(tmp_path, 3e6)
     new.open()
     old.close()
@@ -131,10 +133,12 @@
         failing.setattr(Path, "unlink", refuse)
         assert [owed.name for owed in new.adopt()] == [b"a"]
         with pytest.raises(OSError):
-            new.out(b"a", 1.0, "n1")
-        assert new.owed[b"a"].out is None
-    new.out(b"a", 1.0, "n1")
-    assert not new.behind and not (tmp_path / "spool").exists()  # the old one; its own keeps its number
+            new.record_attempt_start(b"a", 1.0, "n1")
+        assert new.pending[b"a"].in_flight_since is None
+    new.record_attempt_start(b"a", 1.0, "n1")
+    assert (
+        not new.has_unwritten and not (tmp_path / "spool").exists()
+    )  # the old one; its own keeps its number
 
 
 def refuse(*_: Any, **__: Any) -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -18,11 +18,11 @@
 
 def allow_all(quay: Quay) -> None:
     """The guard of sending says yes, whatever it is asked."""
-    quay.dispatcher.control.may_start = lambda *_: True  # type: ignore[method-assign]
+    quay.dispatcher.policy.may_start = lambda *_: True  # type: ignore[method-assign]
 
 
 def no_guard(quay: Quay) -> None:
-    quay.dispatcher.may_begin = lambda *_: True  # type: ignore[method-assign]
+    quay.dispatcher.may_start = lambda *_: True  # type: ignore[method-assign]
 
 
 def held_up(quay: Quay, *names: str) -> None:
@@ -40,7 +40,7 @@
 def sent_when_over(quay: Quay) -> None:
     held_up(quay, "m1")
     no_guard(quay)
-    client = quay.dispatcher.by_name[b"m1"]
+    client = quay.dispatcher.messages_by_name[b"m1"]
     quay.dispatcher.submissions.withdraw(client)
     let_go(quay)
 
@@ -55,9 +55,9 @@
     quay.late = {"1"}
     quay.put(quay.client(), "m1", left=300)
     allow_all(quay)
-    message = quay.dispatcher.by_name[b"m1"]
-    errand = next(iter(quay.assembly.receivers.errands.values()))
-    message.end -= 0.4
+    message = quay.dispatcher.messages_by_name[b"m1"]
+    errand = next(iter(quay.assembly.carrier.errands.values()))
+    message.expires_at -= 0.4
     assert errand
     let_go(quay)
 
@@ -87,7 +87,7 @@
 
 def no_turns(quay: Quay) -> None:
     """Every message of a key is queued at once, and has its turn whenever it is asked for."""
-    control = quay.dispatcher.control
+    control = quay.dispatcher.policy
 
     def wake(now: float, turns: KeyQueue) -> None:
         for case in turns.messages:
@@ -107,7 +107,7 @@
 
 def sent_out_of_order_of_another_process(quay: Quay) -> None:
     no_turns(quay)
-    quay.dispatcher.peers.view = PeerView(processes=1, keys={"key": {b"m0": 1.0}})
+    quay.dispatcher.peers.view = PeerView(processes=1, accepted_by_key={"key": {b"m0": 1.0}})
     quay.put(quay.client(), "m1", "order", "key")
 
 
@@ -121,49 +121,49 @@
 
 
 def sent_over_slots(quay: Quay) -> None:
-    quay.dispatcher.peers.view = PeerView(processes=1, calls_out=8)
+    quay.dispatcher.peers.view = PeerView(processes=1, calls_in_flight=8)
     quay.put(quay.client(), "m1")
 
 
 def sent_over_window(quay: Quay) -> None:
-    route = quay.dispatcher.book.routes["r1"]
+    route = quay.dispatcher.registry.routes["r1"]
     route.window = 4
-    quay.dispatcher.peers.view = PeerView(processes=1, calls_out=4, calls_to={"r1": 4})
+    quay.dispatcher.peers.view = PeerView(processes=1, calls_in_flight=4, calls_by_route={"r1": 4})
     quay.put(quay.client(), "m1")
 
 
 def sent_beside(quay: Quay) -> None:
     quay.put(quay.client(), "m1")
-    attempt = next(iter(quay.assembly.receivers.errands))
-    message = quay.dispatcher.by_name[b"m1"]
-    quay.dispatcher.sending(attempt, message)
+    attempt = next(iter(quay.assembly.carrier.errands))
+    message = quay.dispatcher.messages_by_name[b"m1"]
+    quay.dispatcher.attempt_sending(attempt, message)
 
 
 def repeated(quay: Quay) -> None:
     quay.put(quay.client(), "m1", "charge")
-    quay.dispatcher.control.may_go = lambda *_: True  # type: ignore[method-assign]
+    quay.dispatcher.policy.may_go = lambda *_: True  # type: ignore[method-assign]
     quay.answer("1", "500 Internal Server Error")
     quay.after(3.0)
 
 
 def repeated_late(quay: Quay) -> None:
     quay.put(quay.client(), "m1", "stamp")
-    stored = quay.dispatcher.store.owed[b"m1"]
-    assert stored.out is not None
-    stored.out -= 5.0  # longer ago than the decisions believe
+    stored = quay.dispatcher.store.pending[b"m1"]
+    assert stored.in_flight_since is not None
+    stored.in_flight_since -= 5.0  # longer ago than the decisions believe
     quay.answer("1", "500 Internal Server Error")
     quay.after(0.1)
 
 
 def refused_owed(quay: Quay) -> None:
     store: Any = quay.dispatcher.store
-    store.refuse = store.over = lambda *_: None
+    store.record_refusal = store.record_finished = lambda *_: None
     held_up(quay, *(f"m{number}" for number in range(45)))
 
 
 def notice_unrecorded(quay: Quay) -> None:
     store: Any = quay.dispatcher.store
-    store.notice = lambda *_: None
+    store.record_notice = lambda *_: None
     quay.put(quay.client(), "m1", "charge")
     quay.answer("1", "500 Internal Server Error")
 
@@ -171,7 +171,7 @@
 def closed_unanswered(quay: Quay) -> None:
     client = quay.client()
     quay.put(client, "m1")
-    client.protocol.pending = quay.dispatcher.by_name[b"m1"]
+    client.protocol.pending = quay.dispatcher.messages_by_name[b"m1"]
     client.protocol.half_close(CloseReason.LEAVING)
 
 
@@ -208,7 +208,7 @@
     assert not quay.dispatcher.invariants.violations
     BREAKS[invariant](quay)
     assert quay.dispatcher.invariants.violations[invariant], quay.dispatcher.invariants.violations
-    assert quay.dispatcher.figures()["invariant violations"]
+    assert quay.dispatcher.metrics()["invariant violations"]
 
 
 def test_an_earlier_message_of_another_process_is_seen(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -47,7 +47,7 @@
     quay.answer("1", "429 Too Many", "X-RateLimit-Wait-Ms: 400", "X-Load-Report: x0=0.4,x1=25")
     quay.after(0.6)
     quay.answer("1", "200 OK", "Connection: close")
-    assert not quay.dispatcher.store.owed
+    assert not quay.dispatcher.store.pending
     assert quay.same_as("net-served")
 
 
@@ -74,7 +74,7 @@
     quay.pipes[-1].stuck = True
     quay.put(client, "m2", "charge")
     quay.cut("1")
-    assert quay.dispatcher.store.owed[b"m2"].out is None
+    assert quay.dispatcher.store.pending[b"m2"].in_flight_since is None
     quay.after(2.0)
     quay.answer("1", "200 OK")
     assert quay.same_as("net-unwritten")
@@ -188,14 +188,14 @@
     quay.takes_notices = True
     quay.after(1.5)
     quay.answer("1", "200 OK")
-    assert not quay.dispatcher.store.owed
+    assert not quay.dispatcher.store.pending
     assert quay.same_as("net-notices")
 
 
 def test_a_deferral_in_the_turn_that_took_a_mail_is_the_answer(port: Port) -> None:
     quay = port()
     quay.put(quay.client(), "m1", left=20)
-    assert not quay.dispatcher.store.owed
+    assert not quay.dispatcher.store.pending
     assert quay.same_as("net-busy")
 
 
@@ -211,9 +211,9 @@
     quay.put(stuck, "m2")
     quay.lose(stuck)
     quay.flow()
-    assert list(quay.dispatcher.store.owed) == [b"m2"]  # its client may come again in a moment
+    assert list(quay.dispatcher.store.pending) == [b"m2"]  # its client may come again in a moment
     quay.after(0.45)
-    assert not quay.dispatcher.store.owed
+    assert not quay.dispatcher.store.pending
     assert quay.same_as("net-withdrawn")
 
 
@@ -234,7 +234,7 @@
     for _ in range(2):
         quay.after(0.1)
         quay.answer("1", "200 OK")
-    assert not quay.dispatcher.store.owed
+    assert not quay.dispatcher.store.pending
     assert quay.same_as("net-restart")
 
 
@@ -257,7 +257,7 @@
     quay.after(1.1)
     quay.answer("1", "200 OK")
     quay.answer("1", "200 OK")
-    assert not quay.dispatcher.store.owed and not quay.dispatcher.control.key_queues
+    assert not quay.dispatcher.store.pending and not quay.dispatcher.policy.key_queues
     assert quay.same_as("net-owed-notices")
 
 
@@ -346,7 +346,7 @@
         asked = next(line for line in reversed(quay.lines) if "POST" in line)
         quay.answer(asked.split("-> ")[1].partition(":")[0], "200 OK")
         quay.reactor.advance(0.01)
-    receivers = quay.assembly.receivers
+    receivers = quay.assembly.carrier
     rested = [(since, line) for pool in receivers.pools.values() for since, line in pool.idle]
     oldest = [line for _, line in sorted(rested, key=lambda each: each[0])]
     assert list(receivers.resting) == oldest and len(oldest) > 1
@@ -417,18 +417,18 @@
     quay.after(0.4)
     old = quay.pipe("list")
 
-    quay.assembly.unread(["nothing there"])
+    quay.assembly.report_refused_configuration(["nothing there"])
     assert old in quay.pipes
     quay.say("moved")
     plan, there = quay.plan, Address("127.0.0.8:9")
     source, outlet = replace(plan.source, address=there), replace(plan.outlet, address=there)
-    quay.assembly.retold(replace(plan, source=source, outlet=outlet))
+    quay.assembly.apply_platform_settings(replace(plan, source=source, outlet=outlet))
     quay.flow()
     assert old not in quay.pipes and old.disconnected
     quay.takes_notices = True
     quay.answer("new list", "200 OK", body=json.dumps(quay.hosts("2", seq=1)))
     quay.after(0.1)
-    assert list(quay.dispatcher.book.routes) == ["r2"] and not quay.dispatcher.store.owed
+    assert list(quay.dispatcher.registry.routes) == ["r2"] and not quay.dispatcher.store.pending
     assert quay.same_as("net-moved")
 
 
@@ -445,7 +445,7 @@
     quay.answer("list", "200 OK", body='{"seq":1,"whole":false,"hosts":[]}')  # not held back at all
     quay.after(0.4)
     quay.news("12", "Ready", 3)
-    assert len(quay.dispatcher.book.routes) == 2
+    assert len(quay.dispatcher.registry.routes) == 2
     assert quay.same_as("net-list")
 
 
@@ -462,10 +462,10 @@
     news = quay.hosts("12", seq=2)
     news["hosts"][1][field] = value
     quay.answer("list", "200 OK", body=json.dumps(news))
-    assert list(quay.dispatcher.book.routes) == ["r1"]
+    assert list(quay.dispatcher.registry.routes) == ["r1"]
     quay.after(0.35)
     quay.answer("list", "200 OK", body=json.dumps(quay.hosts("12", seq=2)))
-    assert list(quay.dispatcher.book.routes) == ["r1", "r2"]
+    assert list(quay.dispatcher.registry.routes) == ["r1", "r2"]
 
 
 def test_answers_that_came_in_together_are_read_before_the_turn(port: Port) -> None:
@@ -516,7 +516,7 @@
         quay.after(0.7)
     quay.assembly.stop()
     quay.after(2.0)
-    assert not quay.dispatcher.store.owed
+    assert not quay.dispatcher.store.pending
     assert quay.same_as("net-stop-waiting")
 
 
@@ -526,7 +526,7 @@
     stopped: list[float] = []
     quay.assembly.stop().addCallback(lambda _: stopped.append(quay.now - 100))
     quay.after(3.6)
-    assert stopped and quay.dispatcher.store.owed[b"m1"].out
+    assert stopped and quay.dispatcher.store.pending[b"m1"].in_flight_since
 
 
 def test_the_spool_stays_within_its_disk_and_says_so(tmp_path: Path) -> None:
@@ -536,26 +536,36 @@
     most, refused = 0, 0
     for number in range(400):
         name = b"m%d" % number
-        taken = spool.take(StoredMessage(name, "k", "news", "x", b"", 7, 1e9, bytes(3000)))
+        taken = spool.accept(StoredMessage(name, "k", "news", "x", b"", 7, 1e9, bytes(3000)))
         refused += not taken
         for _ in range(3 if taken else 0):
-            spool.out(name, 1e9, "r1")
-            spool.back(name)
+            spool.record_attempt_start(name, 1e9, "r1")
+            spool.record_not_run(name)
         if number >= 5:
-            spool.over(b"m%d" % (number - 5))
+            spool.record_finished(b"m%d" % (number - 5))
         most = max(most, sum(-(-file.stat().st_size // 512) * 512 for file in tmp_path.iterdir()))
     assert 0 < refused < 400 and most <= disk
-    left = {name: (owed.attempts, owed.ran, owed.out, len(owed.body)) for name, owed in spool.owed.items()}
+    left = {
+        name: (owed.attempts, owed.first_may_have_run_at, owed.in_flight_since, len(owed.body))
+        for name, owed in spool.pending.items()
+    }
     spool.close()
     again = Spool(tmp_path, disk)
-    assert left == {n: (o.attempts, o.ran, o.out, len(o.body)) for n, o in again.owed.items()} and left
+    assert (
+        left
+        == {
+            n: (o.attempts, o.first_may_have_run_at, o.in_flight_since, len(o.body))
+            for n, o in again.pending.items()
+        }
+        and left
+    )
 
 
 def test_a_full_spool_turns_mails_away(port: Port) -> None:
     quay = port(disk=3900)
     client = quay.client()
     quay.put(client, "m1")
-    assert isinstance(quay.dispatcher.store, Spool) and quay.dispatcher.store.room == 0
+    assert isinstance(quay.dispatcher.store, Spool) and quay.dispatcher.store.reserved_bytes == 0
     assert quay.same_as("net-full")
 
 
@@ -578,10 +588,10 @@
         quay.late = set()
         quay.after(3.0)
         quay.say("the spool can be written again")
-    assert list(quay.dispatcher.store.owed) == [b"m1"]
+    assert list(quay.dispatcher.store.pending) == [b"m1"]
     quay.after(0.1)
     quay.answer("1", "200 OK")
-    assert not quay.dispatcher.store.owed
+    assert not quay.dispatcher.store.pending
     quay.put(client, "m3")
     assert quay.same_as("net-disk")
 
@@ -603,17 +613,17 @@
     told["settings"]["limits"] = {**told["settings"]["limits"], "max_attempts": 2}
     config.write_text(json.dumps(told))
     quay.say("retold")
-    quay.assembly.retold(of_platform(environ, again=True)[0])
+    quay.assembly.apply_platform_settings(of_platform(environ, again=True)[0])
     quay.put(client, "m2", "fresh")
     quay.put(client, "m3", "charge")
     quay.answer("1", "500 Internal Server Error")
     quay.after(0.1)
     quay.answer("1", "200 OK")
     quay.after(0.1)
-    figures = quay.dispatcher.operators_figures()
+    figures = quay.dispatcher.operator_metrics()
     assert figures["requests"]["charge"]["failed"] == 2 and figures["requests"]["fresh"]["served"] == 1
     assert figures["reloads_ok"] == 1
-    assert quay.dispatcher.book.settings.max_attempts == 2
+    assert quay.dispatcher.registry.settings.max_attempts == 2
     assert quay.assembly.plan.source.address == "127.0.0.9:10"
     assert quay.same_as("net-retold")
 
--- a/tests/test_peer_spools.py
+++ b/tests/test_peer_spools.py
@@ -25,7 +25,7 @@
 
 def message(name: str, key: str | None = None, accepted: float = -inf) -> StoredMessage:
     found = StoredMessage(name.encode(), key, "order", "", b"", 7, 1e12, b"body")
-    found.accepted = accepted
+    found.accepted_at = accepted
     return found
 
 
@@ -44,13 +44,13 @@
     for number in range(50):
         name = f"m{number}"
         writer, reader = (old, new) if number % 2 else (new, old)
-        assert writer.take(message(name, "k", float(number)))
-        assert name.encode() in reader.read_peers().accepted
+        assert writer.accept(message(name, "k", float(number)))
+        assert name.encode() in reader.read_peers().accepted_at
         if number % 7 == 0:
             writer._renew()
-            assert name.encode() in reader.read_peers().accepted
+            assert name.encode() in reader.read_peers().accepted_at
     assert new.read_peers().first_accepted("k") == 1.0
-    old.over(b"m1")
+    old.record_finished(b"m1")
     assert new.read_peers().first_accepted("k") == 3.0
     assert new.read_peers().knows(b"m1")  # for a moment
 
@@ -58,35 +58,35 @@
 def test_calls_that_are_out_are_counted_until_their_end(tmp_path: Path) -> None:
     old, new = spool(tmp_path), spool(tmp_path)
     for name in ("a", "b", "c", "d"):
-        assert old.take(message(name))
-        old.out(name.encode(), 1.0, "r1" if name == "a" else "r2")
-    assert new.read_peers().calls_out == 4
-    assert new.read_peers().calls_to == {"r1": 1, "r2": 3}
-    old.back(b"a")
-    old.end(b"b")
-    old.over(b"c")
-    assert new.read_peers().calls_out == 1
+        assert old.accept(message(name))
+        old.record_attempt_start(name.encode(), 1.0, "r1" if name == "a" else "r2")
+    assert new.read_peers().calls_in_flight == 4
+    assert new.read_peers().calls_by_route == {"r1": 1, "r2": 3}
+    old.record_not_run(b"a")
+    old.record_attempt_end(b"b")
+    old.record_finished(b"c")
+    assert new.read_peers().calls_in_flight == 1
     old._renew()
-    assert new.read_peers().calls_out == 1
-    assert new.read_peers().calls_to == {"r2": 1}
-    assert old.owed[b"b"].ran == 1.0 and old.owed[b"b"].out is None
+    assert new.read_peers().calls_in_flight == 1
+    assert new.read_peers().calls_by_route == {"r2": 1}
+    assert old.pending[b"b"].first_may_have_run_at == 1.0 and old.pending[b"b"].in_flight_since is None
 
 
 def test_rests_and_routes_are_read_and_outlive_a_renewal(tmp_path: Path) -> None:
     old, new = spool(tmp_path), spool(tmp_path)
-    old.rest("k", 50.0, now=40.0)
+    old.record_cooldown("k", 50.0, now=40.0)
     back_at = time.monotonic()
     failed, returned = RouteRecord(None, back_at - 1), RouteRecord(back_at, back_at)
-    old.route("r1", failed)
-    old.route("r2", failed)
-    old.route("r2", returned)
+    old.record_route("r1", failed)
+    old.record_route("r2", failed)
+    old.record_route("r2", returned)
     for _ in range(2):
         view = new.read_peers()
-        assert view.rests == {"k": 50.0}
+        assert view.cooldowns == {"k": 50.0}
         assert view.routes == {"r1": failed, "r2": returned}
         old._renew()
     old.close()
-    assert Spool(tmp_path, DISK, writes=False).rests == {"k": 50.0}
+    assert Spool(tmp_path, DISK, writes=False).cooldowns == {"k": 50.0}
 
 
 def adopt_once_listed(heir: Spool, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -107,7 +107,7 @@
 ) -> None:
     """The ended process's file goes once the heir has written its own: between two looks it is in either."""
     first, heir, third = spool(tmp_path), spool(tmp_path), spool(tmp_path)
-    assert first.take(message("m", "k", 1.0))
+    assert first.accept(message("m", "k", 1.0))
     assert third.read_peers().first_accepted("k") == 1.0
     first.close()
     adopt_once_listed(heir, monkeypatch)
@@ -123,7 +123,7 @@
     heir, third = spool(tmp_path), spool(tmp_path)
     assert third.read_peers().processes == 1
     first = spool(tmp_path)
-    assert first.take(message("m", "k", 1.0))
+    assert first.accept(message("m", "k", 1.0))
     heir.read_peers()
     first.close()
     adopt_once_listed(heir, monkeypatch)
@@ -134,7 +134,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old, new = spool(tmp_path), spool(tmp_path)
-    assert old.take(message("m", "k", 1.0))
+    assert old.accept(message("m", "k", 1.0))
     with monkeypatch.context() as failing:
         failing.setattr(PeerSpool, "read", refuse)
         with pytest.raises(OSError):
@@ -147,7 +147,7 @@
 ) -> None:
     """It once counted as owing nothing. -BUSY does no harm; nothing is sent either."""
     quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.handed_down = True
+    quay.dispatcher.shares_listening_socket = True
     beside = spool(quay.state)
     with monkeypatch.context() as failing:
         failing.setattr(PeerSpool, "read", refuse)
@@ -165,10 +165,10 @@
 ) -> None:
     """A client whose connection broke sends its request once more, and may come to the other process."""
     quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.handed_down = True
+    quay.dispatcher.shares_listening_socket = True
     beside = spool(quay.state)
     end = quay.dispatcher.now() + 5
-    assert beside.take(StoredMessage(b"m1", None, "charge", "", b"", 7, end, b"body"))
+    assert beside.accept(StoredMessage(b"m1", None, "charge", "", b"", 7, end, b"body"))
     quay.put(quay.client(), "m1", "charge")
     assert "client" not in quay.lines[-1], quay.lines  # it has given up before it would hear that it failed
     quay.after(0.7)
@@ -185,17 +185,17 @@
 ) -> None:
     """The next process once kept to half of them for its life; the last one to all until its stop."""
     quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.handed_down = True
+    quay.dispatcher.shares_listening_socket = True
     store: Any = quay.dispatcher.store
-    alone = quay.assembly.room.most, quay.front.most, quay.front.most_idle, store.max_owed
+    alone = quay.assembly.room.most, quay.front.most, quay.front.most_idle, store.max_pending_bytes
     beside = spool(quay.state)
     assert quay.dispatcher.peers.read()
-    shared = quay.assembly.room.most, quay.front.most, quay.front.most_idle, store.max_owed
+    shared = quay.assembly.room.most, quay.front.most, quay.front.most_idle, store.max_pending_bytes
     assert all(each <= before / 2 for each, before in zip(shared, alone, strict=True))
     beside.close()
     quay.dispatcher.recovery.adopt()
     assert quay.dispatcher.peers.read()
-    assert alone == (quay.assembly.room.most, quay.front.most, quay.front.most_idle, store.max_owed)
+    assert alone == (quay.assembly.room.most, quay.front.most, quay.front.most_idle, store.max_pending_bytes)
 
 
 def test_a_lock_on_a_file_that_was_replaced_is_none_on_its_path(
@@ -218,11 +218,11 @@
 def test_a_process_that_starts_beside_an_heir_takes_the_free_name(tmp_path: Path) -> None:
     """The heir once took the first name by a rename, over the file of a process that had just started."""
     first, heir = spool(tmp_path), spool(tmp_path)
-    assert heir.take(message("m", "k", 1.0))
+    assert heir.accept(message("m", "k", 1.0))
     first.close()
     assert heir.adopt() == [] and heir.path.name == "spool.1"
     started = spool(tmp_path)
-    assert started.path.name == "spool" and started.take(message("n", "k", 2.0))
+    assert started.path.name == "spool" and started.accept(message("n", "k", 2.0))
     for _ in range(3):
         assert heir.adopt() == [] and started.adopt() == []
         assert started.read_peers().first_accepted("k") == 1.0
@@ -243,8 +243,8 @@
     store = spool(quay.state)
     for name, accepted in (("second", now - 1.0), ("first", now - 2.0), ("third", now - 0.5)):
         stored = StoredMessage(name.encode(), "key", "order", "x", b"", 7, now + 9, b"hello")
-        stored.accepted = accepted
-        assert store.take(stored)
+        stored.accepted_at = accepted
+        assert store.accept(stored)
     store.close()
     quay.start()
     for name in ("first", "second", "third"):
@@ -257,7 +257,7 @@
 def test_a_file_of_an_older_release_counts_from_when_it_is_read(tmp_path: Path) -> None:
     """It has no time of acceptance: what is read before another is accepted comes before it."""
     old, new = spool(tmp_path), spool(tmp_path)
-    assert old.take(message("m", "k"))
+    assert old.accept(message("m", "k"))
     before = time.monotonic()
     assert before <= new.read_peers().first_accepted("k") <= time.monotonic()
 
@@ -266,10 +266,10 @@
     """The record of a process that ended was older than what its heir had seen of that route itself."""
     now = time.monotonic()
     old, new, third = spool(tmp_path), spool(tmp_path), spool(tmp_path)
-    old.route("r1", RouteRecord(None, now - 2))
-    new.route("r1", RouteRecord(now - 1, now - 1))
-    old.route("r2", RouteRecord(None, now - 1))
-    new.route("r2", RouteRecord(now - 2, now - 2))
+    old.record_route("r1", RouteRecord(None, now - 2))
+    new.record_route("r1", RouteRecord(now - 1, now - 1))
+    old.record_route("r2", RouteRecord(None, now - 1))
+    new.record_route("r2", RouteRecord(now - 2, now - 2))
     latest = {"r1": RouteRecord(now - 1, now - 1), "r2": RouteRecord(None, now - 1)}
     assert third.read_peers().routes == latest
     old.close()
@@ -287,9 +287,9 @@
     old._queue(encode_payload(["route", "r1", None]))
     old._queue(encode_payload(["route", "r2", None]))
     returned = RouteRecord(time.monotonic(), time.monotonic())
-    new.route("r2", returned)
-    assert new.read_peers().routes["r1"].back_at is None
+    new.record_route("r2", returned)
+    assert new.read_peers().routes["r1"].recovered_at is None
     old.close()
     new.adopt()
-    assert [name for name, each in new.inherit_routes().items() if each.back_at is None] == ["r1"]
+    assert [name for name, each in new.inherit_routes().items() if each.recovered_at is None] == ["r1"]
     assert new.routes["r2"] == returned
--- a/tests/test_sent_once_more.py
+++ b/tests/test_sent_once_more.py
@@ -49,7 +49,7 @@
     quay.answer("12", "200 OK")
     quay.after(9.5)
     assert (calls(quay), notices(quay)) == (1, 0)
-    assert not quay.dispatcher.held and not quay.dispatcher.store.owed
+    assert not quay.dispatcher.held_messages and not quay.dispatcher.store.pending
     assert not quay.dispatcher.invariants.violations
 
 
@@ -59,7 +59,7 @@
     put_again(quay, "charge")
     quay.after(1.0)
     assert (calls(quay), heard(quay), notices(quay)) == (1, ["+OK"], 0)
-    assert not quay.dispatcher.store.owed
+    assert not quay.dispatcher.store.pending
 
 
 def test_after_its_call_failed_once_only_is_failed_and_not_sent_again(quay: Quay) -> None:
@@ -68,13 +68,13 @@
     put_again(quay, "charge")
     quay.after(1.0)
     assert (calls(quay), heard(quay), notices(quay)) == (1, ["-ERR"], 0)
-    assert not quay.dispatcher.store.owed
+    assert not quay.dispatcher.store.pending
 
 
 def test_nobody_who_sends_it_again_leaves_nothing_owed(quay: Quay) -> None:
     put_and_break(quay, "news")
     quay.after(1.0)
-    assert not quay.dispatcher.held and not quay.dispatcher.store.owed
+    assert not quay.dispatcher.held_messages and not quay.dispatcher.store.pending
     assert (calls(quay), notices(quay)) == (1, 0)
 
 
@@ -85,10 +85,10 @@
     put_again(quay, "news")
     first = next(pipe for pipe in quay.pipes if pipe.asked and pipe.name in ("1", "2"))
     quay.answer(first.name, "500 Internal Server Error")
-    assert b"m1" in quay.dispatcher.by_name and b"m1" in quay.dispatcher.store.owed
+    assert b"m1" in quay.dispatcher.messages_by_name and b"m1" in quay.dispatcher.store.pending
     quay.after(0.1)
     for pipe in list(quay.pipes):
         if pipe.asked and pipe.name in ("1", "2"):
             quay.answer(pipe.name, "200 OK")
     quay.after(0.5)
-    assert not quay.dispatcher.held and not quay.dispatcher.store.owed
+    assert not quay.dispatcher.held_messages and not quay.dispatcher.store.pending
--- a/tests/test_served.py
+++ b/tests/test_served.py
@@ -212,7 +212,7 @@
         (tmp_path / "state").mkdir()
         spool = Spool(tmp_path / "state", 1e6)
         spool.open()
-        spool.take(StoredMessage(b"old", None, "news", "", b"", "north", time.monotonic() + 20, b"hello"))
+        spool.accept(StoredMessage(b"old", None, "news", "", b"", "north", time.monotonic() + 20, b"hello"))
         spool.close()
         async with daemon(tmp_path, NAMES) as here:
             await here.until("relayed", 1)
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -125,25 +125,25 @@
     with failing(tmp_path, Fault.DISK_SHORT, share=0.5):
         for number in range(100):
             name = b"m%d" % number
-            if spool.take(StoredMessage(name, None, "news", "x", b"", 7, 1e12, bytes(50 + number))):
+            if spool.accept(StoredMessage(name, None, "news", "x", b"", 7, 1e12, bytes(50 + number))):
                 taken.append(name)
     spool.close()
-    assert taken and list(Spool(tmp_path, 1e6, writes=False).owed) == taken
+    assert taken and list(Spool(tmp_path, 1e6, writes=False).pending) == taken
 
 
 def test_bytes_of_a_failed_write_never_read_as_a_record(tmp_path: Path) -> None:
     """What a write left behind lies past the end, and may hold a record at just the right place."""
     spool = Spool(tmp_path, 1e6)
     spool.open()
-    assert spool.take(message(b"m0", b""))
+    assert spool.accept(message(b"m0", b""))
     forged, _ = encode_record(encode_message(message(b"forged", b"")), 0)
     failed, _ = encode_record(encode_message(message(b"m2", forged * 3)), 0)
     with failing(tmp_path, Fault.DISK_ERROR):
-        assert not spool.take(message(b"m2", b""))
+        assert not spool.accept(message(b"m2", b""))
     os.pwrite(spool.file, failed[:-1], spool.size)
-    assert spool.take(message(b"m1", b""))
+    assert spool.accept(message(b"m1", b""))
     spool.close()
-    assert list(Spool(tmp_path, 1e6, writes=False).owed) == [b"m0", b"m1"]
+    assert list(Spool(tmp_path, 1e6, writes=False).pending) == [b"m0", b"m1"]
 
 
 def test_a_file_of_an_older_release_is_taken_over_with_its_times_of_the_wall_clock(tmp_path: Path) -> None:
@@ -157,10 +157,12 @@
     for _ in range(2):  # as it was written, and as it is written anew
         spool = Spool(tmp_path, 1e6)
         spool.open()
-        assert list(spool.owed) == [b"m1"]
-        owed = spool.owed[b"m1"]
-        assert owed.out is not None
-        assert (owed.end - time.monotonic(), time.monotonic() - owed.out) == approx((60, 5), abs=1)
+        assert list(spool.pending) == [b"m1"]
+        owed = spool.pending[b"m1"]
+        assert owed.in_flight_since is not None
+        assert (owed.expires_at - time.monotonic(), time.monotonic() - owed.in_flight_since) == approx(
+            (60, 5), abs=1
+        )
         assert (owed.attempts, owed.body) == (1, b"hello")
         spool.close()
 
@@ -178,13 +180,13 @@
         self.log: Any = structlog.get_logger()
         self.counters: Counter[str] = Counter()
 
-    def noticed(self, name: bytes) -> None:
+    def notice_acknowledged(self, name: bytes) -> None:
         self.taken.append(name)
 
     def now(self) -> float:
         return 0.0
 
-    def later(self, after: float, call: Any, *args: Any) -> Any:
+    def call_later(self, after: float, call: Any, *args: Any) -> Any:
         self.pause = after
         self.due.append(call)
 
@@ -203,9 +205,9 @@
     with failing(tmp_path, Fault.DISK_ERROR, share=0.7), failing(tmp_path, Fault.DISK_SHORT, share=0.7):
         for number in range(1, 60):
             name = b"m%d" % number
-            lines.put(name, b'{"message":"%s"}\n' % name)
+            lines.send_notice(name, b'{"message":"%s"}\n' % name)
             core.run()
-    while lines.waiting:
+    while lines.pending_count:
         core.run()
     whole = [json.loads(line)["message"] for line in path.read_bytes().splitlines() if line.endswith(b"}")]
     assert whole == [f"m{number}" for number in range(60)]
@@ -228,7 +230,7 @@
     core = Notices()
     lines = Lines(core, tmp_path / "undelivered.jsonl")
     with failing(tmp_path, Fault.DISK_ERROR):
-        lines.put(b"m1", b'{"message":"m1"}\n')
+        lines.send_notice(b"m1", b'{"message":"m1"}\n')
         core.run()
     assert not core.taken and core.pause <= 0.1
     core.run()
@@ -276,9 +278,9 @@
         quay.answer("1", "200 OK")
         quay.assembly.stop().addCallback(stopped.append)
         quay.after(2.0)
-        assert not stopped and quay.dispatcher.store.behind
+        assert not stopped and quay.dispatcher.store.has_unwritten
     quay.after(0.2)
-    assert stopped and not quay.dispatcher.store.owed
+    assert stopped and not quay.dispatcher.store.pending
     quay.start()
     quay.after(1.0)
     assert hooks(quay) == ["m1"]
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -59,7 +59,9 @@
                 spool = Spool(folder / "state", 1e6)
                 spool.open()
                 end = time.monotonic() + 20
-                assert spool.take(StoredMessage(name.encode(), None, "news", "", b"", "north", end, b"hello"))
+                assert spool.accept(
+                    StoredMessage(name.encode(), None, "news", "", b"", "north", end, b"hello")
+                )
                 spool.close()
             began = time.monotonic()
             await launch(here, Window(Fault.DISK_ERROR, began, began + 3.0))
@@ -169,7 +171,7 @@
     for number, peer in enumerate(peers):
         peer.send(shore.put(f"m{number}"))
     monkeypatch.setattr(socket.socket, "accept", failing)
-    shore.front.shut()
+    shore.front.stop_accepting()
     shore.until(lambda: all(peer.pull() == OK or peer.ended for peer in peers), 2.0)
     assert [peer.got for peer in peers] == [OK] * 6
     for number in range(6):
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -105,13 +105,13 @@
         port.socket = listening
         if cause == "no room":
             shore.front.turn_away(False)
-        shore.until(lambda: b"a" in shore.core.by_name)
-        assert shore.core.by_name[b"a"].end <= sent_at + 1.52
+        shore.until(lambda: b"a" in shore.core.messages_by_name)
+        assert shore.core.messages_by_name[b"a"].expires_at <= sent_at + 1.52
         shore.until(lambda: client.pull() == b"+OK\r\n")
         client.send(shore.put("b", left=1500))  # no time was lost before this one
         sent_at = time.monotonic()
-        shore.until(lambda: b"b" in shore.core.by_name)
-        assert sent_at + 1.4 <= shore.core.by_name[b"b"].end <= sent_at + 1.52
+        shore.until(lambda: b"b" in shore.core.messages_by_name)
+        assert sent_at + 1.4 <= shore.core.messages_by_name[b"b"].expires_at <= sent_at + 1.52
     finally:
         shore.end()
 
@@ -126,7 +126,7 @@
         client = shore.client(ping=False)
         client.send(shore.put("a", left=1500))
         sent_at = time.monotonic()
-        shore.until(lambda: b"a" in shore.core.by_name)
-        assert shore.core.by_name[b"a"].end >= sent_at + 1.4
+        shore.until(lambda: b"a" in shore.core.messages_by_name)
+        assert shore.core.messages_by_name[b"a"].expires_at >= sent_at + 1.4
     finally:
         shore.end()
