--- a/laureldock/cli/serve.py
+++ b/laureldock/cli/serve.py
@@ -14,7 +14,7 @@
 import structlog
 from twisted.internet.main import installReactor
 
-from laureldock.assembly import Assembly, Prepared
+from laureldock.assembly import Assembly, PreparedReload
 from laureldock.cli.config import exit_with_faults
 from laureldock.logs import Logs
 from laureldock.setup.faults import RefusedError, dotted
@@ -122,22 +122,22 @@
             if faults := faults_in_plan(plan, bounds):
                 raise ValueError("; ".join(faults[:20]))
         except ValueError as fault:
-            assembly.unread([str(fault)])
+            assembly.report_refused_configuration([str(fault)])
             return
-        assembly.retold(plan)
+        assembly.apply_platform_settings(plan)
 
-    def read_file() -> Prepared | list[str]:
+    def read_file() -> PreparedReload | list[str]:
         """The plan of the file as it is now, or its faults as text."""
         try:
-            return Prepared.of(load(str(file), overrides).plan)
+            return PreparedReload.prepare(load(str(file), overrides).plan)
         except RefusedError as refused:
             return [str(fault) for fault in refused.faults]
         except Exception as fault:  # an internal error must stop neither the dispatcher nor later reloads
             return [f"internal error: {fault!r}"]
 
-    def apply_file(found: Prepared | list[str]) -> None:
+    def apply_file(found: PreparedReload | list[str]) -> None:
         if isinstance(found, list):
-            assembly.unread(found)
+            assembly.report_refused_configuration(found)
         elif not assembly.reload(found):
             logs.reconfigure(found.plan.log)
             assembly.core.verbose = found.plan.log.level == "debug"
--- a/laureldock/cli/spool.py
+++ b/laureldock/cli/spool.py
@@ -17,13 +17,18 @@
 def command(folder: Path, as_json: bool) -> None:
     """Print the pending messages of the spool in FOLDER, which is only read."""
     to_wall = read_clocks().monotonic_to_wall
-    for message in Spool(folder, 0, writes=False).owed.values():
+    for message in Spool(folder, 0, writes=False).pending.values():
         name, size = message.name.decode(), len(message.body)
         if as_json:
             fields = {"mail": name, "destination": message.destination, "queue_class": message.queue_class}
             click.echo(
                 json.dumps(
-                    {**fields, "connects": message.attempts, "bytes": size, "end": message.end + to_wall}
+                    {
+                        **fields,
+                        "connects": message.attempts,
+                        "bytes": size,
+                        "end": message.expires_at + to_wall,
+                    }
                 )
             )
         else:
--- a/laureldock/sources/controlled.py
+++ b/laureldock/sources/controlled.py
@@ -12,7 +12,7 @@
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python.failure import Failure
 
-from laureldock.core.seams import News
+from laureldock.core.protocols import EndpointListListener
 from laureldock.interface import FetchList
 from laureldock.replication import messages
 from laureldock.replication.change_log import Record
@@ -289,7 +289,9 @@
     configuration on disk and waits for the lock.
     """
 
-    def __init__(self, core: News, stream: ControllerStream, store: ConfigurationStore) -> None:
+    def __init__(
+        self, core: EndpointListListener, stream: ControllerStream, store: ConfigurationStore
+    ) -> None:
         self.core, self.stream, self.store = core, stream, store
         stream.on_applied = self._applied
         self.settled = False
@@ -302,7 +304,7 @@
         if may_subscribe:
             self.stream.start()
         else:
-            self.core.later(LOCK_RETRY_INTERVAL, self._wait_for_lock)
+            self.core.call_later(LOCK_RETRY_INTERVAL, self._wait_for_lock)
 
     def _acquire(self) -> bool:
         try:
@@ -331,7 +333,7 @@
             self.stream.on_event(SubscriberEvent("fault", {"fault": repr(error)}, serious=True))
             return
         self.stream.restore(stored)
-        self.core.guard(self.core.news, [], False)
+        self.core.guard(self.core.list_updated, [], False)
 
     def _load_stored(self) -> StoredConfiguration:
         try:
@@ -343,7 +345,7 @@
         if self._closed:
             return
         if not self._acquire():
-            self.core.later(LOCK_RETRY_INTERVAL, self._wait_for_lock)
+            self.core.call_later(LOCK_RETRY_INTERVAL, self._wait_for_lock)
             return
         self._restore()  # the previous process may have stored changes meanwhile
         self.stream.start()
@@ -351,9 +353,9 @@
     def _applied(self) -> None:
         if not self.settled and has_changes(self.stream.subscriber.position):
             self.settled = True
-            self.core.guard(self.core.news, [], False)  # lets the dispatcher accept clients
+            self.core.guard(self.core.list_updated, [], False)  # lets the dispatcher accept clients
 
-    def ask(self, asked: FetchList) -> None:
+    def fetch_list(self, asked: FetchList) -> None:
         """Does nothing: the controller sends changes by itself."""
 
     def close(self) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -445,7 +445,7 @@
     path.write_text(BASE + customers.format(quota=1.0))
     dispatcher = Assembled(load(str(path)).plan, tmp_path / "state")
     try:
-        registry = dispatcher.core.book
+        registry = dispatcher.core.registry
         kept, route = registry.customers["kept"], registry.routes["s1"]
         path.write_text(BASE + 'zone = "b"\n' + customers.format(quota=3.0))
         dispatcher.reloaded(load(str(path)).plan)
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -279,7 +279,7 @@
     tracked = TrackedStore(tmp_path / "configuration")
     tracked.snapshot(5, *(f"name{number}" for number in range(2000)))
     parent_spool, folder_spool = Spool(tmp_path, 1e5), Spool(tmp_path / "configuration", 1e5)
-    assert parent_spool.unknown_files() == [] and not parent_spool.sharing
+    assert parent_spool.unknown_files() == [] and not parent_spool.is_shared
 
     def room(spool: Spool) -> int:
         spool.open()
@@ -287,7 +287,7 @@
             StoredMessage(b"m%d" % number, None, "news", "", b"", 7, 1e12, b"x" * 100)
             for number in range(999)
         )
-        return sum(spool.take(message) for message in messages)
+        return sum(spool.accept(message) for message in messages)
 
     assert 0 < room(parent_spool) == room(folder_spool) < 999
     parent_spool.close()
--- a/tests/test_controller_stream.py
+++ b/tests/test_controller_stream.py
@@ -256,13 +256,13 @@
     def now(self) -> float:
         return float(self.rig.reactor.seconds())
 
-    def later(self, delay: float, call: Any, *args: Any) -> Any:
+    def call_later(self, delay: float, call: Any, *args: Any) -> Any:
         return self.rig.reactor.callLater(delay, call, *args)
 
     def guard(self, call: Any, *args: Any) -> Any:
         return call(*args)
 
-    def news(self, hosts: list[tuple[ListedEndpoint, str]], whole: bool) -> None:
+    def list_updated(self, hosts: list[tuple[ListedEndpoint, str]], whole: bool) -> None:
         self.updates.append((len(hosts), whole))
 
 
