--- a/laureldock/setup/reading.py
+++ b/laureldock/setup/reading.py
@@ -149,7 +149,7 @@
     while not folder.exists() and folder.parent != folder:
         folder = folder.parent
     if not folder.is_dir() or (state.exists() and not state.is_dir()):
-        yield Fault(("state",), f"{folder} is no folder", "a folder, or a name where one can be made")
+        yield Fault(("state",), f"{folder} is not a folder", "a folder, or a path where one can be created")
     elif not os.access(folder, os.W_OK | os.X_OK):
         yield Fault(("state",), f"{folder} cannot be written to", "a folder that this user may write to")
 
@@ -235,7 +235,7 @@
         if "examples" in each:
             return f"text as {each['examples'][0]!r}"
         if "pattern" in each:
-            return f"text that fits {each['pattern']}"
+            return f"text that matches {each['pattern']}"
         edges = [
             f"{word} {each[key]:g}"
             for key, word in (
--- a/laureldock/setup/rules.py
+++ b/laureldock/setup/rules.py
@@ -57,16 +57,16 @@
 
 def require_positive(path: Path, value: float | None) -> Iterator[Fault]:
     if value is not None and not value > 0:
-        yield Fault(path, "must be more than nought")
+        yield Fault(path, "must be more than 0")
 
 
 def machine_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
     limits = plan.limits
     if limits.disk < 64 << 10:
-        yield Fault(("limits", "disk"), f"{encode(limits.disk)} holds no mail", "64KiB or more")
+        yield Fault(("limits", "disk"), f"{encode(limits.disk)} is too small for a message", "64KiB or more")
     if limits.slots > limits.sockets // 2:
         allowed = f"{limits.sockets // 2}, half of limits.sockets, or fewer"
-        yield Fault(("limits", "slots"), f"{limits.slots} calls out need more sockets", allowed)
+        yield Fault(("limits", "slots"), f"{limits.slots} calls in flight need more sockets", allowed)
 
 
 def limit_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
@@ -74,17 +74,18 @@
     yield from require_positive(("limits", "connect_time"), limits.connect_time)
     if limits.connects > bounds.connects:
         path, allowed = ("limits", "connects"), f"{bounds.connects} or fewer"
-        yield Fault(path, f"{limits.connects} connects for a mail are more than the rules allow", allowed)
+        yield Fault(path, f"{limits.connects} attempts per message exceed the limit of the rules", allowed)
     if limits.copies and not bounds.copies:
         yield Fault(("limits", "copies"), "two attempts of a message at once are not allowed here", "false")
     if limits.key_rest < bounds.key_rest:
         reason = (
-            f"a key rests for {encode(limits.key_rest)}, and a connect that may still run could be overtaken"
+            f"a cooldown of {encode(limits.key_rest)} could let a later message overtake "
+            "an attempt that may still run"
         )
         yield Fault(("limits", "key_rest"), reason, f"{bounds.key_rest:g}s or more")
     if limits.drain_grace > bounds.drain_grace:
         path, allowed = ("limits", "drain_grace"), f"{bounds.drain_grace:g}s or less"
-        yield Fault(path, "new work would go to an endpoint long after it drains", allowed)
+        yield Fault(path, "new messages would go to an endpoint long after it starts to drain", allowed)
     if limits.idle_time <= limits.connect_time:
         path, allowed = (
             ("limits", "idle_time"),
@@ -110,7 +111,7 @@
         if adapter.kind != "platform" and adapter.address is not None:
             yield Fault((name, "address"), f"only a {name} of kind 'platform' has an address")
     if plan.outlet.kind == "lines" and not plan.outlet.path:
-        yield Fault(("outlet", "path"), "the file of the lines is missing", "a path")
+        yield Fault(("outlet", "path"), "no file for notices is set", "a path")
     if plan.outlet.kind != "lines" and plan.outlet.path:
         yield Fault(("outlet", "path"), "only an outlet of kind 'lines' has a path")
     yield from source_faults(plan)
@@ -135,7 +136,9 @@
         yield Fault(("endpoint",), "no endpoint is listed", "one [[endpoint]] or more, or another source")
     elif source.kind == "platform" and plan.endpoints:
         yield Fault(
-            ("endpoint",), "the list comes from the platform", "no [[endpoint]], or source.kind 'file'"
+            ("endpoint",),
+            "the endpoint list comes from the platform",
+            "no [[endpoint]], or source.kind 'file'",
         )
 
 
@@ -163,27 +166,31 @@
         return
     for name, given in (("listen", fleet.listen), ("advertise", fleet.advertise)):
         if given is not None and not is_ip(given.rpartition(":")[0]):
-            reason = f"{given} is no IP address and port: names are looked up for seeds alone"
+            reason = f"{given} is not an IP address and port: host names are resolved only for seeds"
             yield Fault(("fleet", name), reason, "as '10.0.0.1:7946'")
     host = fleet.listen.rpartition(":")[0]
     if host in ("0.0.0.0", "[::]", "::") and fleet.advertise is None:
-        yield Fault(("fleet", "advertise"), f"nobody reaches {fleet.listen}", "an address others reach it at")
+        yield Fault(
+            ("fleet", "advertise"),
+            f"other members cannot connect to {fleet.listen}",
+            "an IP address and port that other members can connect to",
+        )
     if not 0.05 <= fleet.period <= 60:
-        allowed = "50ms to 1min: shorter than a busy process can keep, or too long to be of use"
+        allowed = "50ms to 1min: a busy process cannot keep a shorter period, and a longer one is of no use"
         yield Fault(("fleet", "period"), f"{encode(fleet.period)} between probes", allowed)
     if fleet.forget < 100 * fleet.period:
-        reason = "one that failed would be forgotten before a cut is over"
+        reason = "a failed member would be forgotten before a network partition ends"
         yield Fault(("fleet", "forget"), reason, "100 periods or more")
     for index, front in enumerate(plan.front):
         if front.listen == fleet.listen:
             yield Fault(
-                ("fleet", "listen"), "a front listens there", "another number", ("front", index, "listen")
+                ("fleet", "listen"), "a front listens there", "another port", ("front", index, "listen")
             )
 
 
 def classes_faults(plan: Plan, bounds: Bounds) -> Iterator[Fault]:
     if not plan.classes:
-        yield Fault(("class",), "no queue class: no mail could be taken", "one [class.NAME] or more")
+        yield Fault(("class",), "no queue class: no message could be accepted", "one [class.NAME] or more")
     for name, each in plan.classes.items():
         yield from class_faults(each, ("class", name))
 
@@ -193,21 +200,23 @@
     yield from require_positive((*at, "lifetime"), each.lifetime)
     if each.target_delay > each.lifetime:
         allowed = f"{encode(each.lifetime)}, its lifetime, or less"
-        yield Fault((*at, "target_delay"), "a mail would be over before it is late", allowed)
+        yield Fault((*at, "target_delay"), "a message would expire before it is late", allowed)
     yield from repeat_safety_faults(each, at)
 
 
 def repeat_safety_faults(each: QueueClass, at: Path) -> Iterator[Fault]:
     """Faults by which a message that is not redeliverable could take effect twice."""
     if each.effect == "once-only" and each.resend == "any":
-        reason = "a once-only mail that may have run would be sent again"
+        reason = "a once-only message that may have run would be sent again"
         yield Fault((*at, "resend"), reason, "'proven' or 'never'")
     if each.effect == "tagged":
         yield from require_positive((*at, "memory"), each.memory)
         if each.memory is None and each.resend not in ("proven", "never"):
-            allowed = "the time for which receivers know a repeat, or resend = 'proven'"
+            allowed = "the time for which receivers recognize a repeat, or resend = 'proven'"
             yield Fault(
-                (*at, "memory"), "a tagged mail could be sent again when its tag is forgotten", allowed
+                (*at, "memory"),
+                "a tagged message could be sent again after receivers have forgotten its tag",
+                allowed,
             )
     else:
         for name in ("memory", "one_zone"):
@@ -289,7 +298,7 @@
         if isinstance(given, list) and not given:
             yield Fault((*at, field), "names nothing", "a name, or several")
     if sum(selected[field] is not None for field in ("kind", "destination", "route")) > 1:
-        yield Fault(at, "names two places", "one of kind, destination, route")
+        yield Fault(at, "names more than one scope", "one of kind, destination, route")
     if all(getattr(entry, setting) is None for setting in SETTINGS):
         yield Fault(at, "sets nothing", "one of " + ", ".join(SETTINGS))
 
@@ -310,7 +319,7 @@
             yield duplicate_endpoint(each, at, also)
         elif name in by_name:
             also = ("endpoint", by_name[name])
-            yield Fault((*at, "name"), f"two endpoints are named {name!r}", "a name of its own", also)
+            yield Fault((*at, "name"), f"two endpoints are named {name!r}", "a unique name", also)
         by_name.setdefault(name, index)
         by_address.setdefault(key, index)
 
@@ -372,7 +381,11 @@
         found, cap = self.get("window", "", scopes), window_cap(self.plan.limits.slots)
         if found and found.value > cap:
             allowed = f"{cap}, under three quarters of limits.slots, or fewer"
-            yield Fault(found.path, f"{found.value} calls in flight would crowd out all else", allowed)
+            yield Fault(
+                found.path,
+                f"{found.value} calls in flight would leave too few slots for other destinations",
+                allowed,
+            )
 
     def settings_faults(self, name: str, scopes: Sequence[Scope]) -> Iterator[Fault]:
         kind, limits = self.plan.classes[name], self.plan.limits
@@ -380,14 +393,14 @@
         if found := self.get("time_out", name, scopes):
             yield from require_positive(found.path, found.value)
             if found.value > kind.lifetime:
-                yield Fault(found.path, f"a connect would outlast a mail of class {name!r}", life)
+                yield Fault(found.path, f"an attempt would outlast a message of class {name!r}", life)
         connects = self.get("connects", name, scopes)
         if connects and connects.value > limits.connects:
             allowed = f"{limits.connects}, limits.connects, or fewer"
-            yield Fault(connects.path, f"{connects.value} connects for a mail of class {name!r}", allowed)
+            yield Fault(connects.path, f"{connects.value} attempts per message of class {name!r}", allowed)
         if (found := self.get("retry_after", name, scopes)) and found.value > limits.retry_after:
             allowed = f"{encode(limits.retry_after)}, limits.retry_after, or less"
-            yield Fault(found.path, "clients do not heed so long a wait", allowed)
+            yield Fault(found.path, "clients do not respect a wait this long", allowed)
         yield from self.copies_faults(name, kind, scopes, connects)
 
     def copies_faults(
@@ -397,24 +410,27 @@
         if after:
             yield from require_positive(after.path, after.value)
             if after.value >= kind.lifetime:
-                reason = f"a mail of class {name!r} is over by then"
+                reason = f"a message of class {name!r} has expired by then"
                 yield Fault(after.path, reason, f"less than {encode(kind.lifetime)}")
             if kind.memory is not None and after.value >= kind.memory:
-                reason, allowed = "its tag is forgotten by then", f"less than {encode(kind.memory)}"
+                reason, allowed = (
+                    "receivers have forgotten the tag of the message by then",
+                    f"less than {encode(kind.memory)}",
+                )
                 yield Fault(after.path, reason, allowed)
         found = self.get("copies", name, scopes)
         if not found or found.value == 1:
             return
         if found.value > MAX_COPIES:
-            yield Fault(found.path, f"{found.value} copies of a mail at once", f"{MAX_COPIES} or fewer")
+            yield Fault(found.path, f"{found.value} copies of a message at once", f"{MAX_COPIES} or fewer")
         if not self.plan.limits.copies:
-            reason = "two connects of a mail out at once are barred"
+            reason = "two attempts of a message at once are not allowed"
             yield Fault(found.path, reason, "1, or limits.copies = true where receivers allow it")
         if kind.effect == "once-only" or kind.resend in ("proven", "never") or kind.one_zone:
-            reason = f"a mail of class {name!r} could take effect twice"
-            yield Fault(found.path, reason, "1, as for all that may not be sent again at will")
+            reason = f"a message of class {name!r} could take effect twice"
+            yield Fault(found.path, reason, "1, as for every class whose messages may not be repeated freely")
         if kind.in_order:
             yield Fault(found.path, f"class {name!r} keeps an order, which copies would break", "1")
         if connects and connects.value < found.value:
-            reason = f"{found.value} copies, and {connects.value} connect"
-            yield Fault(found.path, reason, "as many connects", connects.path)
+            reason = f"{found.value} copies, but connects is {connects.value}"
+            yield Fault(found.path, reason, "connects at least as large as copies", connects.path)
--- a/laureldock/setup/terms.py
+++ b/laureldock/setup/terms.py
@@ -89,7 +89,7 @@
             names = [level.name.lower() for level in Level if widest <= level <= narrowest and level]
             reason = f"{setting} cannot be set for " + (
                 "a queue class" if queue_class and not by_class else f"a {scope[0].name.lower()}" if scope[0]
-                else "all alike"
+                else "all destinations at once"
             )  # fmt: skip
             return Fault(path, reason, "at a " + ", a ".join((["queue class"] if by_class else []) + names))
         found = self.entries.setdefault((setting, queue_class, scope), [])
