--- a/laureldock/assembly.py
+++ b/laureldock/assembly.py
@@ -15,7 +15,7 @@
 from laureldock.core.dispatcher import Dispatcher
 from laureldock.core.protocols import Front, Outlet, Source
 from laureldock.delivery_settings import DeliveryRegistry
-from laureldock.fronts.resp_server import Clients
+from laureldock.fronts.resp_server import RespServer
 from laureldock.outlets.lines import LineOutlet
 from laureldock.outlets.platform import PlatformOutlet
 from laureldock.setup.entries import index_terms
@@ -24,8 +24,8 @@
 from laureldock.setup.reload import changed_tables, forbidden_changes
 from laureldock.setup.terms import TermsIndex
 from laureldock.setup.units import Address
-from laureldock.sockets.reactor import SteadyReactor, listen_error
-from laureldock.sockets.room import Room
+from laureldock.sockets.reactor import MonotonicReactor, listen_error
+from laureldock.sockets.socket_budget import SocketBudget
 from laureldock.sources.listed import EndpointList, ListedSource, endpoint_list, endpoint_list_of
 from laureldock.sources.platform import PlatformSource
 from laureldock.stores.spool import Spool
@@ -73,7 +73,7 @@
     ) -> None:
         self.plan, self.reactor = plan, reactor
         store = store or Spool(state, plan.limits.disk)
-        self.room = Room.of(plan.limits.sockets)
+        self.room = SocketBudget.of_limit(plan.limits.sockets)
         self.catalog = make_catalog(plan)
         live_plan, terms = (
             (plan, None) if self.catalog is None else (self.catalog.in_force, self.catalog.terms_index)
@@ -81,14 +81,14 @@
         registry = DeliveryRegistry(live_plan, sockets=True, terms=terms)
         self.core = core = Dispatcher(plan.name, registry, store, reactor, on_fatal_error)
         self.clients = [
-            Clients(core, reactor, self.room, front.listen, self.max_clients(), front.pipeline)
+            RespServer(core, reactor, self.room, front.listen, self.max_clients(), front.pipeline)
             for front in plan.front
         ]
         core.on_process_count = self.share_limits
-        self.clients[0].passed = plan.passed
-        if isinstance(reactor, SteadyReactor):
+        self.clients[0].passed_descriptor = plan.passed
+        if isinstance(reactor, MonotonicReactor):
             for each in self.clients:
-                each.unread = reactor.unread
+                each.max_unread_time = reactor.max_unread_time
         core.shares_listening_socket = plan.passed >= 0
         fronts: list[Front] = [*self.clients]
         self.carrier = HttpCarrier(core, reactor, self.room)
@@ -121,10 +121,10 @@
     def share_limits(self, processes: int) -> None:
         """Divide the limits on sockets and disk space by the number of processes of this dispatcher."""
         self.core.store.share_disk(processes)
-        self.room.most = Room.of(self.plan.limits.sockets // processes).most
+        self.room.max_sockets = SocketBudget.of_limit(self.plan.limits.sockets // processes).max_sockets
         for clients in self.clients:
-            clients.limit(self.max_clients(processes))
-        self.room.spare()
+            clients.set_max_connections(self.max_clients(processes))
+        self.room.free_socket()
 
     def make_source(self, plan: Plan, state: Path) -> Source:
         """The source that the plan names."""
@@ -228,10 +228,10 @@
         source, outlet = self.source, self.outlet
         if not self.core.running:
             return
-        if list_address and isinstance(source, PlatformSource) and list_address != source.dial:
-            source.move(list_address)
-        if notice_address and isinstance(outlet, PlatformOutlet) and notice_address != outlet.dial:
-            outlet.move(notice_address)
+        if list_address and isinstance(source, PlatformSource) and list_address != source.address:
+            source.change_address(list_address)
+        if notice_address and isinstance(outlet, PlatformOutlet) and notice_address != outlet.address:
+            outlet.change_address(notice_address)
 
     def apply_platform_settings(self, plan: Plan) -> None:
         """Apply new settings of the platform, classes and limits. Accepted messages keep their class."""
--- a/laureldock/carriers/http.py
+++ b/laureldock/carriers/http.py
@@ -16,9 +16,9 @@
 from laureldock.core.messages import HeldMessage
 from laureldock.core.protocols import AttemptListener, Timer
 from laureldock.interface import Attempt, AttemptResult, ListedState, Outcome, Probe, Route
-from laureldock.sockets.flush import unread
-from laureldock.sockets.httpline import HttpLine, open_line
-from laureldock.sockets.room import Room
+from laureldock.sockets.flush import peek_unread
+from laureldock.sockets.http_client import HttpConnection, open_connection
+from laureldock.sockets.socket_budget import SocketBudget
 from laureldock.wire.http1 import Headers
 
 # Seconds to wait for the response to a call that was given up. Receivers see the half-close within a moment,
@@ -33,10 +33,16 @@
     """
 
     def __init__(
-        self, route: Route, address: str, now: Callable[[], float], all_idle: dict[HttpLine, ConnectionPool]
+        self,
+        route: Route,
+        address: str,
+        now: Callable[[], float],
+        all_idle: dict[HttpConnection, ConnectionPool],
     ) -> None:
         self.route, self.address, self.now, self.all_idle = route, address, now, all_idle
-        self.idle: list[tuple[float, HttpLine]] = []  # each with the time since when, the longest idle first
+        self.idle: list[
+            tuple[float, HttpConnection]
+        ] = []  # each with the time since when, the longest idle first
 
     def close_idle(self, idle_for: float = 0.0) -> None:
         """Close the connections that have been idle for at least this many seconds."""
@@ -46,23 +52,23 @@
     def close_oldest(self) -> None:
         _, connection = self.idle.pop(0)
         del self.all_idle[connection]
-        connection.drop()
+        connection.discard()
 
-    def take_newest(self) -> tuple[float, HttpLine]:
+    def take_newest(self) -> tuple[float, HttpConnection]:
         """Remove and return the connection that became idle last, with the time at which it did."""
         since, connection = self.idle.pop()
         del self.all_idle[connection]
         return since, connection
 
-    def release(self, connection: HttpLine) -> None:
+    def release(self, connection: HttpConnection) -> None:
         """Take back a connection whose call has ended, or close it if the route is not up."""
         if self.route.listed_state is ListedState.UP:
             self.idle.append((self.now(), connection))
             self.all_idle[connection] = self
         else:
-            connection.drop()
+            connection.discard()
 
-    def connection_closed(self, connection: HttpLine) -> None:
+    def connection_closed(self, connection: HttpConnection) -> None:
         if self.all_idle.pop(connection, None):
             self.idle = [(since, other) for since, other in self.idle if other is not connection]
 
@@ -70,12 +76,12 @@
 class HttpCarrier:
     """Carries out attempts and probes as HTTP calls to receivers, and reports their outcomes to the core."""
 
-    def __init__(self, core: AttemptListener, reactor: PosixReactorBase, room: Room) -> None:
+    def __init__(self, core: AttemptListener, reactor: PosixReactorBase, room: SocketBudget) -> None:
         self.core, self.reactor, self.room = core, reactor, room
         self.pools: dict[Route, ConnectionPool] = {}
-        self.all_idle: dict[HttpLine, ConnectionPool] = {}  # idle connections, the longest idle first
+        self.all_idle: dict[HttpConnection, ConnectionPool] = {}  # idle connections, the longest idle first
         self.calls: dict[Attempt, HttpCall] = {}  # in flight; probes are not among them
-        room.spare = self.make_room
+        room.free_socket = self.make_room
 
     @property
     def attempts_in_flight(self) -> int:
@@ -96,10 +102,7 @@
         time_limit = message.call_timeout(attempt.timeout, self.core.now())
         head = [b"POST /hook HTTP/1.1", b"X-Call-Id: " + message.name]
         head += [b"Idempotency-Key: " + message.tag] if message.tag else []
-        head += [
-            b"X-Budget: %dm" % max(1, time_limit * 1000),
-            b"Content-Length: %d" % len(message.body),
-        ]
+        head += [b"X-Budget: %dm" % max(1, time_limit * 1000), b"Content-Length: %d" % len(message.body)]
 
         def may_send() -> bool:
             return self.core.may_start(attempt, message)
@@ -145,7 +148,7 @@
 
     def take_idle_connection(
         self, pool: ConnectionPool, max_connection_idle_time: float
-    ) -> tuple[float, HttpLine] | None:
+    ) -> tuple[float, HttpConnection] | None:
         """Take a usable idle connection of the pool; returns its idle time in seconds and the connection.
 
         A connection is usable if the receiver has surely not closed it yet, and if no bytes are unread on it:
@@ -158,14 +161,14 @@
         while pool.idle:
             since, connection = pool.take_newest()
             connection_idle_time = self.core.now() - since
-            if connection_idle_time <= max_connection_idle_time and unread(connection.transport) is None:
+            if connection_idle_time <= max_connection_idle_time and peek_unread(connection.transport) is None:
                 return connection_idle_time, connection
-            connection.drop()
+            connection.discard()
         return None
 
     def make_room(self) -> None:
         """Make room for one more connection, of a client or to a receiver: close the longest idle ones."""
-        excess = self.room.receivers + self.room.clients - self.room.most
+        excess = self.room.receivers + self.room.clients - self.room.max_sockets
         if excess < 0:
             return
         for pool in list(islice(self.all_idle.values(), excess + 1)):
@@ -197,10 +200,10 @@
         self.time_limit, self.may_send, self.on_finished = time_limit, may_send, on_finished
         self.max_connection_idle_time, self.connection_idle_time = max_connection_idle_time, 0.0
         self.started_at, self.finished = carrier.core.now(), False
-        self.connection: HttpLine | None = None
+        self.connection: HttpConnection | None = None
         self.message: HeldMessage | None = None  # None for a probe
         self.on_sending: Callable[[], None] = lambda: None  # called just before the first byte is sent
-        self.connecting: Deferred[HttpLine] | None = None
+        self.connecting: Deferred[HttpConnection] | None = None
         self.timer: Timer | None = None
         # The result once the call has been given up, unless a late response still arrives.
         self.given_up_as: CallResult | None = None
@@ -217,18 +220,18 @@
         self.carrier.room.receivers += 1
         core.counters["connections opened"] += 1
         connect_time_limit = core.settings.connect_timeout
-        self.connecting = open_line(
+        self.connecting = open_connection(
             self.carrier.reactor, self.pool.address, MAX_BODY_BYTES, connect_time_limit
         )
         self.connecting.addCallbacks(self.connected, self.connect_failed)
 
-    def connected(self, connection: HttpLine) -> None:
+    def connected(self, connection: HttpConnection) -> None:
         self.connecting = None
-        connection.free, connection.gone = self.pool.release, self.connection_closed
+        connection.on_idle, connection.on_closed = self.pool.release, self.connection_closed
         # In the next turn of the reactor, after it has read all input that is ready in this one.
         self.carrier.core.call_later(0, self.send, connection)
 
-    def connection_closed(self, connection: HttpLine) -> None:
+    def connection_closed(self, connection: HttpConnection) -> None:
         self.carrier.room.receivers -= 1
         self.pool.connection_closed(connection)
 
@@ -236,7 +239,7 @@
         self.carrier.room.receivers -= 1
         self.finish(CallResult.NOT_CONNECTED)
 
-    def send(self, connection: HttpLine) -> None:
+    def send(self, connection: HttpConnection) -> None:
         if connection.closed:
             self.finish(CallResult.NOT_CONNECTED)
             return
@@ -246,7 +249,7 @@
             return
         self.connection = connection
         self.on_sending()
-        connection.ask([*self.head, b"Host: " + self.pool.address.encode()], self.body, self)
+        connection.send_request([*self.head, b"Host: " + self.pool.address.encode()], self.body, self)
 
     def stop(self, result: CallResult) -> None:
         """Give the call up; a response that is already on its way still counts.
@@ -255,37 +258,37 @@
         """
         if self.finished or self.given_up_as:
             return
-        if self.connection and self.connection.written:
+        if self.connection and self.connection.request_flushed:
             self.cancel_timer()
             self.given_up_as = result
             self.connection.end_sending()
-            self.timer = self.carrier.core.call_later(LATE_RESPONSE_TIME, self.connection.give_up, result)
+            self.timer = self.carrier.core.call_later(LATE_RESPONSE_TIME, self.connection.fail, result)
             return
         if self.connecting:
             self.connecting.cancel()
         if self.connection:
-            self.connection.give_up(CallResult.NOT_CONNECTED)
+            self.connection.fail(CallResult.NOT_CONNECTED)
         else:
             self.finish(CallResult.NOT_CONNECTED)
 
-    def begun(self, status: int, headers: Headers) -> None:
+    def response_started(self, status: int, headers: Headers) -> None:
         """A status line of 200 holds whatever follows; the rest is read only to reuse the connection."""
         if status == 200 and not self.finished and self.connection:
             self.finish(CallResult.DELIVERED, headers)
             core = self.carrier.core
-            self.timer = core.call_later(core.settings.connect_timeout, self.connection.drop)
+            self.timer = core.call_later(core.settings.connect_timeout, self.connection.discard)
 
-    def answered(self, status: int, headers: Headers, body: bytes) -> None:
+    def response_received(self, status: int, headers: Headers, body: bytes) -> None:
         result = RESULTS_BY_STATUS.get(status, CallResult.UNEXPECTED_STATUS)
         if result is CallResult.REFUSED and headers.get(b"x-over-slots") == b"1":
             result = CallResult.NO_SLOT
         self.finish(result, headers)
 
-    def written_out(self) -> None:
+    def request_written(self) -> None:
         if self.message:
             self.carrier.core.message_sent(self.message)
 
-    def unanswered(self, end: CallResult) -> None:
+    def request_failed(self, end: CallResult) -> None:
         self.finish(self.given_up_as or end)
 
     def cancel_timer(self) -> None:
--- a/laureldock/outlets/platform.py
+++ b/laureldock/outlets/platform.py
@@ -7,7 +7,7 @@
 from laureldock.core import MAX_BODY_BYTES
 from laureldock.core.call_results import CallResult
 from laureldock.core.protocols import NoticeListener
-from laureldock.sockets.httpline import Asker, HttpLine
+from laureldock.sockets.http_client import HttpConnection, SerialHttpClient
 from laureldock.wire.http1 import Headers
 
 # Seconds. The protocol has notices acknowledged at once, and allows the end of a message to be reported 0.3 s
@@ -15,7 +15,7 @@
 RESPONSE_TIMEOUT, RETRY_INTERVAL = 0.1, 0.05
 
 
-class PlatformOutlet(Asker):
+class PlatformOutlet(SerialHttpClient):
     """Posts all pending notices in one request, as far as its body holds them; one request at a time."""
 
     def __init__(self, core: NoticeListener, reactor: PosixReactorBase, dial: str) -> None:
@@ -46,47 +46,47 @@
             if size > MAX_BODY_BYTES:
                 break
             self.in_flight.append(name)
-        self.begin(RESPONSE_TIMEOUT)
+        self.start_request(RESPONSE_TIMEOUT)
 
-    def send(self, line: HttpLine) -> None:
+    def write_request(self, line: HttpConnection) -> None:
         body = b"".join(self.pending[name] for name in self.in_flight)
         head = [
             b"POST /v1/notices HTTP/1.1",
-            b"Host: " + self.dial.encode(),
+            b"Host: " + self.address.encode(),
             b"Content-Type: application/x-ndjson",
             b"Content-Length: %d" % len(body),
         ]
-        line.ask(head, body, self)
+        line.send_request(head, body, self)
 
-    def answered(self, status: int, headers: Headers, body: bytes) -> None:
+    def response_received(self, status: int, headers: Headers, body: bytes) -> None:
         if status != 204:
             return self.fail(f"answer {status}")
         if self.failing:
             self.core.log.info("notices taken again", waiting=len(self.pending))
         self.failing = False
-        self.settle()
+        self.end_request()
         acknowledged, self.in_flight = self.in_flight, []
         for name in acknowledged:
             del self.pending[name]
             self.core.notice_acknowledged(name)
         return self.send_pending()
 
-    def move(self, dial: str) -> None:
-        super().move(dial)
+    def change_address(self, address: str) -> None:
+        super().change_address(address)
         self.send_pending()
 
-    def written_out(self) -> None:
+    def request_written(self) -> None:
         """Does nothing: requests with notices are not counted."""
 
-    def unanswered(self, end: CallResult) -> None:
+    def request_failed(self, end: CallResult) -> None:
         self.fail(end.value, retry_at_once=end is not CallResult.MALFORMED_RESPONSE)
 
     def fail(self, why: str, retry_at_once: bool = False) -> None:
         """Schedule the next request: at once if a reused connection broke, otherwise after the interval."""
-        if self.settle():
+        if self.end_request():
             if not self.failing:
                 self.core.log.warning("notices not taken", waiting=len(self.pending))
             self.failing = True
-            reused = self.line is not None and self.line.used > 1
-            self.drop()
+            reused = self.connection is not None and self.connection.request_count > 1
+            self.discard_connection()
             self.core.call_later(0.0 if retry_at_once and reused else RETRY_INTERVAL, self.send_pending)
--- a/laureldock/sources/platform.py
+++ b/laureldock/sources/platform.py
@@ -12,14 +12,10 @@
 from laureldock.delivery_settings import ListedEndpoint
 from laureldock.interface import FetchList, ListedState
 from laureldock.setup.units import parse_address
-from laureldock.sockets.httpline import Asker, HttpLine
+from laureldock.sockets.http_client import HttpConnection, SerialHttpClient
 from laureldock.wire.http1 import Headers
 
-LISTED_STATES = {
-    "Ready": ListedState.UP,
-    "Terminating": ListedState.DRAINING,
-    "Gone": ListedState.REMOVED,
-}
+LISTED_STATES = {"Ready": ListedState.UP, "Terminating": ListedState.DRAINING, "Gone": ListedState.REMOVED}
 MAX_LIST_BYTES = 1 << 22  # about ten thousand entries, and far below the memory limit
 # Seconds beyond the wait for updates after which a response that still arrives in parts is given up. The
 # platform counts a change as known six seconds after the watch fell silent. Detecting the silent watch takes
@@ -57,7 +53,7 @@
     )
 
 
-class PlatformSource(Asker):
+class PlatformSource(SerialHttpClient):
     """Watches the endpoint list: each request waits for an update, and the next follows its response.
 
     `known` is the list that this dispatcher had last, from its configuration.
@@ -86,22 +82,24 @@
             # The first request after a start or a failure does not wait for an update, so that a silent
             # server is detected sooner.
             self.wait_time = asked.max_wait if self.watching else 0.0
-            self.begin(self.wait_time + asked.timeout, asked.timeout, self.wait_time + PARTIAL_RESPONSE_TIME)
+            self.start_request(
+                self.wait_time + asked.timeout, asked.timeout, self.wait_time + PARTIAL_RESPONSE_TIME
+            )
 
-    def move(self, dial: str) -> None:
+    def change_address(self, address: str) -> None:
         """Fetch from another address. Its versions are its own, so the full list is requested."""
-        super().move(dial)
+        super().change_address(address)
         self.version, self.watching = None, False
         if self.last_fetch:
             self.fetch_list(self.last_fetch)
 
-    def send(self, line: HttpLine) -> None:
+    def write_request(self, line: HttpConnection) -> None:
         wait_ms = max(1, round(self.wait_time * 1000))
         query = b"?after=%d&wait_ms=%d" % (self.version, wait_ms) if self.version is not None else b""
-        head = [b"GET /discovery/hosts" + query + b" HTTP/1.1", b"Host: " + self.dial.encode()]
-        line.ask(head, b"", self)
+        head = [b"GET /discovery/hosts" + query + b" HTTP/1.1", b"Host: " + self.address.encode()]
+        line.send_request(head, b"", self)
 
-    def answered(self, status: int, headers: Headers, body: bytes) -> None:
+    def response_received(self, status: int, headers: Headers, body: bytes) -> None:
         if status != 200:
             return self.fail(f"answer {status}")
         try:
@@ -118,21 +116,21 @@
             and self.core.now() < self.requested_at + self.wait_time / 2
         ):
             return self.fail("empty update long before the requested wait was over")
-        self.settle()
+        self.end_request()
         self.watching = self.settled = True
         self.core.guard(self.apply, *update)
         if fetch and self.core.running:
             self.fetch_list(fetch)
         return None
 
-    def written_out(self) -> None:
+    def request_written(self) -> None:
         """Does nothing: requests for the list are not counted."""
 
-    def unanswered(self, end: CallResult) -> None:
+    def request_failed(self, end: CallResult) -> None:
         self.fail(end.value)
 
     def fail(self, why: str) -> None:
-        if self.settle():
-            self.drop()
+        if self.end_request():
+            self.discard_connection()
             self.watching, self.settled = False, True
             self.core.list_failed(why)
