--- a/laureldock/carriers/http.py
+++ b/laureldock/carriers/http.py
@@ -36,7 +36,7 @@
         self, route: Route, address: str, now: Callable[[], float], all_idle: dict[HttpLine, ConnectionPool]
     ) -> None:
         self.route, self.address, self.now, self.all_idle = route, address, now, all_idle
-        self.idle: list[tuple[float, HttpLine]] = []  # each with the time since when, the longest idle first
+        self.idle: list[tuple[float, HttpLine]] = []  # each with when it became idle, longest idle first
 
     def close_idle(self, idle_for: float = 0.0) -> None:
         """Close the connections that have been idle for at least this many seconds."""
@@ -96,7 +96,7 @@
         time_limit = message.call_timeout(attempt.timeout, self.core.now())
         head = [b"POST /hook HTTP/1.1", b"X-Call-Id: " + message.name]
         head += [b"Idempotency-Key: " + message.tag] if message.tag else []
-        head += [
+        head += [  # the budget is in milliseconds
             b"X-Budget: %dm" % max(1, time_limit * 1000),
             b"Content-Length: %d" % len(message.body),
         ]
@@ -225,7 +225,7 @@
     def connected(self, connection: HttpLine) -> None:
         self.connecting = None
         connection.free, connection.gone = self.pool.release, self.connection_closed
-        # In the next turn of the reactor, after it has read all input that is ready in this one.
+        # In the next iteration of the reactor, after it has read all input that is ready in this one.
         self.carrier.core.call_later(0, self.send, connection)
 
     def connection_closed(self, connection: HttpLine) -> None:
@@ -269,7 +269,10 @@
             self.finish(CallResult.NOT_CONNECTED)
 
     def begun(self, status: int, headers: Headers) -> None:
-        """A status line of 200 holds whatever follows; the rest is read only to reuse the connection."""
+        """A status of 200 means delivered, whatever follows.
+
+        The rest is read only to reuse the connection, for at most the time that connecting may take.
+        """
         if status == 200 and not self.finished and self.connection:
             self.finish(CallResult.DELIVERED, headers)
             core = self.carrier.core
--- a/laureldock/delivery_policy.py
+++ b/laureldock/delivery_policy.py
@@ -68,8 +68,8 @@
 class DurationHistogram:
     """Durations of served calls, in a few coarse bins."""
 
-    # Upper edges in seconds. Doubling bins: "overdue" needs no more than a factor of two, from a quick call
-    # to the longest lifetime.
+    # Upper edges in seconds, from a quick call to the longest lifetime. Each is twice the one before: to tell
+    # which calls are overdue, durations need to be known to a factor of two only.
     BIN_EDGES = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6)
 
     def __init__(self) -> None:
@@ -79,10 +79,13 @@
         """Count one call; once 64 are counted all counts are halved, so that old calls fade."""
         self.counts[bisect_left(self.BIN_EDGES, duration)] += 1
         if sum(self.counts) >= 64:  # enough to tell a tenth of the calls from none
-            self.counts = [count // 2 for count in self.counts]
+            self.counts = [calls // 2 for calls in self.counts]
 
     def quantile(self, default: float, fraction: float = 0.9) -> float:
-        """Seconds that this fraction of the calls stays under; `default` while fewer than four are known."""
+        """Seconds that this fraction of the calls stays under.
+
+        `default` while fewer than four are known, or if it is above the last edge.
+        """
         total, running_totals = sum(self.counts), accumulate(self.counts)
         edges = (
             edge
@@ -119,8 +122,8 @@
             False,
         )
         # With many instances, an even fraction of a limit says little, since most of them send nothing at
-        # the moment: calls go freely until one is refused or fails, and have to be earned after that. With
-        # eight or fewer, each still sees a fair sample of a route's traffic.
+        # the moment: calls are not limited until one is refused or fails, and need credit after that (see
+        # `refill_credit`). With eight or fewer, each still sees a fair sample of a route's traffic.
         self.many_instances = settings.instances > 8
         # Seconds between sweeps: short against every pause and target delay. With many instances each has few
         # messages that a sweep could be late for.
@@ -133,9 +136,9 @@
         )
         self.start_capacity, self.warm_time = settings.start_capacity, settings.warm_time
         # Calls that a cold route is sent, as a multiple of the capacity that it has by slow start. The rest
-        # of the multiple that it tolerates is left for trials and for chance.
+        # of the multiple that it tolerates is left for trials and for random variation.
         self.cold_load_factor = 0.6 * settings.tip_multiple
-        # Listed rates that are rough may be half too high.
+        # Listed rates that are rough may be 1.5 times the real ones.
         self.listed_rate_trust = {"nominal": 1.0, "rough": 2 / 3}.get(settings.listed_rates, 0.0)
         self.routes_up = 0  # routes that are listed as up, of all destinations
         self.destination_states: dict[interface.Destination, DestinationState] = {}
@@ -156,8 +159,8 @@
         # instances they are kept as long as receivers keep them, and for less where connects find no room.
         self.max_idle_time = min(settings.idle_time or inf, 30.0)
         self.keep_idle_time = self.max_idle_time if self.many_instances else 30.0 / settings.instances
-        # When which route had its last call, in that order; and durations of the calls of all routes, for
-        # routes with few calls of their own.
+        # Ends of calls with their routes, the oldest first, to find routes that have become idle; and
+        # durations of the calls of all routes, for routes with few calls of their own.
         self.idle_routes, self.durations = deque[tuple[float, RouteState]](), DurationHistogram()
         # Seconds for which a connection may be idle and still be open, by the last one found closed, and when
         # that was found.
@@ -197,16 +200,16 @@
                     listed, destination, CircuitState.CLOSED, DurationHistogram()
                 )
                 self.routes_up += 1
-        # Where instances clearly outnumber routes, connections at receivers are scarce: idle ones are closed
-        # at once, an attempt whose connection never comes up has met a full connection table, and calls are
-        # earned after a refusal.
+        # With many instances, false where they clearly outnumber routes. Connections at receivers are scarce
+        # then: idle ones are closed at once, an attempt whose connection never comes up has met a full
+        # connection table, and calls need credit after a refusal.
         self.sparse_traffic = self.many_instances and self.instances <= 1.5 * self.routes_up
         self.keep_idle_time = 0.1 if self.many_instances and not self.sparse_traffic else self.keep_idle_time
 
     def list_failed(self, now: float) -> None:
         """Schedule the next fetch of the list, at a random moment: a whole fleet must not come at once."""
         # The backoff doubles from 0.5 s up to 8 s. A local list costs nothing to fetch: it is fetched every
-        # quarter of a second, counted from the last fetch, and so soon after a longer silence.
+        # quarter of a second, counted from the last fetch; if that is longer ago, within 0.1 s.
         self.list_backoff = 0.25 if self.list_is_local else min(8.0, max(0.5, self.list_backoff * 2))
         draw, elapsed = self.random_fraction(), now - self.list_fetched_at if self.list_is_local else 0.0
         pause = max(0.1 * draw, self.list_backoff * (0.75 + 0.5 * draw) - elapsed)
@@ -250,7 +253,7 @@
             0.0 if submitted.age_of_first_run is None else now - submitted.age_of_first_run,
         )
         self.pending_count += not submitted.awaits_notice
-        # With many instances, calls that do not go freely are earned by the messages that come in.
+        # With many instances, each message that comes in adds to the credit of its destination's routes.
         for route in destination.routes.values() if self.many_instances else ():
             self.refill_credit(now, route)
             route.credit += self.sendable_fraction(now, route) / len(destination.routes)
@@ -368,7 +371,8 @@
 
     def begin_shutdown(self, now: float, time_left: float, hands_over: bool = False) -> None:
         """The process ends in `time_left` seconds; `hands_over`: the next one takes over what waits then."""
-        # What is sent by then has as long again to end; the rest goes to the others.
+        # What is sent by then has as long again to end. The rest is given up, for other instances to take, or
+        # left to the next process.
         self.sends_end_at = now + time_left / 2
         self.hands_over = hands_over
 
@@ -383,7 +387,7 @@
         self.default_terms.clear()
 
     def update_peer_load(self, now: float, peer_load: interface.PeerLoad) -> None:
-        """Share limits, slots, room and the order of keys with peer processes: to the rules all are one."""
+        """Share limits, slots, room and the order of keys with peer processes: together they count as one."""
         before, self.peer_load = self.peer_load, peer_load
         self.instance_fraction = 1.0 / (self.instances * (1 + peer_load.processes))
         for key in before.first_accepted_at:
@@ -443,7 +447,7 @@
         return to_route + more <= route.listed.window and to_destination + more <= destination.listed.window
 
     def excluded_routes(self, now: float) -> int:
-        """Routes listed as up that get no share now: circuit not closed, in backoff, or in a wait."""
+        """Count routes listed as up that get no share now: circuit not closed, in backoff, or in a wait."""
         routes = (
             route for destination in self.destination_states.values() for route in destination.routes.values()
         )
@@ -488,8 +492,8 @@
         if outcome.result in (AttemptResult.MOOT, AttemptResult.CANCELLED):
             return RouteSignal.NO_EVIDENCE
         # A receiver may close an idle connection, which shows only at its next call: that is no failure of
-        # the route, and later connections are not reused after so long. A reset after less is taken for
-        # chance.
+        # the route, and later connections are not reused after so long. A reset after 0.1 s or less is taken
+        # for a coincidence, and counts as a failure.
         if outcome.result is AttemptResult.RESET and outcome.connection_idle_time > 0.1:
             self.safe_idle_time, self.idle_reset_at = max(0.1, 0.75 * outcome.connection_idle_time), now
             return RouteSignal.NO_EVIDENCE
@@ -543,7 +547,8 @@
                 limited.refusal_backoff, self.shared_retry_interval(now - limited.first_refused_at, rate)
             ) * (0.5 + self.random_fraction())
             if outcome.requested_wait > backoff:
-                # The receiver is closed: it tells everyone whom it turns away the same end, and is cold then.
+                # The receiver is unavailable for this time: it states the same end to all senders that it
+                # refuses, and is cold then.
                 backoff = (
                     outcome.requested_wait
                     + self.shared_retry_interval(
@@ -593,7 +598,8 @@
                 0.0 if table_full or outcome.result is AttemptResult.REFUSED else now
             )
         elif route.circuit is CircuitState.CLOSED:
-            # More messages queued behind a silent route than the destination has routes.
+            # The route was backed off since its outage began, and its destination has more messages queued
+            # than routes.
             backlogged = route.backoff_until > route.first_outage_at and route.destination.queue_length > len(
                 route.destination.routes
             )
@@ -695,13 +701,14 @@
         """
         own_rate, cold_load = rate * self.instance_fraction, self.cold_load_factor * self.start_capacity
         saw_fraction = min(1.0, own_rate * failing_time)  # of all instances
-        least = max(2 * failing_time / (1 - saw_fraction) if saw_fraction < 1 else inf, burst / cold_load)
-        return min(least, 1 / (own_rate * cold_load) if own_rate else 0.0)
+        interval = max(2 * failing_time / (1 - saw_fraction) if saw_fraction < 1 else inf, burst / cold_load)
+        return min(interval, 1 / (own_rate * cold_load) if own_rate else 0.0)
 
     def close_circuit(self, now: float, route: RouteState) -> None:
         """Use a route again after a served trial: cold after an outage, but not after a mere wait."""
-        # The served trial says nothing of the time before: when it was weighed with the failures, outages of
-        # under three seconds were not recognized. With many instances, a full connection table is no outage.
+        # `opened_by_failures` is from before the served trial, which says nothing of the time before it: with
+        # the trial counted in the failure rate, outages of under three seconds were not recognized. With many
+        # instances, a full connection table is no outage.
         cold = (
             self.is_failing(route)
             if self.many_instances and not self.sparse_traffic
@@ -741,13 +748,13 @@
     def share(self, now: float, route: RouteState, rate: float) -> float:
         """The weight of a route in the draw. `rate`: calls a second, or a substitute if not known."""
         # A route whose response is due and missing gets hardly any messages.
-        silence = 0.1 if self.is_unresponsive(now, route) else 1.0
+        unresponsive_factor = 0.1 if self.is_unresponsive(now, route) else 1.0
         # While few slots are free, routes that hold them for long get less: half the time, four times the
         # share.
         slots_scarce = route.slot_time and 4 * len(self.calls) > 3 * self.slots
-        thrift = (route.destination.slot_time / route.slot_time) ** 2 if slots_scarce else 1.0
-        # A route that costs a twentieth of a message more, in fees or for a handshake, gets two fifths of the
-        # share.
+        slot_time_factor = (route.destination.slot_time / route.slot_time) ** 2 if slots_scarce else 1.0
+        # A route that costs a twentieth of a message of importance 1 more, in fees or for a handshake, gets
+        # two fifths of the share.
         needs_connection = route.calls or now - route.last_call_ended_at > self.keep_idle_time
         cost = self.zone_fees.get(route.listed.zone, 0.0) + (
             self.handshake_cost if needs_connection and self.sparse_traffic else 0.0
@@ -756,15 +763,15 @@
             rate
             * min(1.0, route.rate_factor)
             * self.slow_start(now, route)
-            * silence
-            * thrift
+            * unresponsive_factor
+            * slot_time_factor
             * exp(-20 * cost)
         )
 
     def is_unresponsive(self, now: float, route: RouteState) -> bool:
         """Whether a call takes longer than nine in ten, with no response of the route since it was sent.
 
-        What nine in ten calls stay under is a third of the time after which a call is overdue.
+        Nine in ten calls are taken to last less than a third of `overdue_after` (see `send_attempt`).
         """
         return any(
             now - call.sent_at > call.overdue_after / 3
@@ -786,10 +793,10 @@
         if route.circuit is CircuitState.CLOSED:
             route.failure_rate *= 0.8 ** (now - route.refilled_at)
         fill_rate = self.route_rate(route) * self.instance_fraction * self.sendable_fraction(now, route)
-        free = self.slow_start(now, route) == 1 and (
+        unlimited = self.slow_start(now, route) == 1 and (
             route.rate_factor >= 1 if self.many_instances else route.advertised_rate == 0
         )
-        if free or not fill_rate:
+        if unlimited or not fill_rate:
             # After an outage no instance alone sends more than the whole rate of the route.
             paced = self.many_instances and route.recovered_at > -inf and fill_rate
             route.credit = (
@@ -802,7 +809,7 @@
         route.refilled_at = now
 
     def handle_overdue_calls(self, now: float) -> None:
-        """Count calls that take far longer than usual as failed before they time out, and cancel some."""
+        """Count calls that take far longer than usual as failed before they time out; cancel at most one."""
         full = self.slots_full
         for call in self.calls:
             # With all slots taken, a call of one message is overdue after about twice what nine in ten calls
@@ -815,8 +822,9 @@
                     call.route.destination.overdue_calls + 1,
                 )
         # Silent calls must not hold slots and keys. An overdue call is cancelled when all slots are taken,
-        # that of a once-only message only after twice its limit; and at once where its route's circuit
-        # opened while the route was silent.
+        # that of a once-only message only after twice its `overdue_after`; at once, unless it is once-only,
+        # where its route's circuit opened while the route was silent; and whatever it carries, where its
+        # destination has more overdue calls than half of `max_failing_destination_calls`.
         overdue_calls = [call for call in self.calls if call.overdue]
         for call in overdue_calls if self.may_cancel else []:
             lost = (
@@ -842,7 +850,7 @@
                 break
 
     def apply_event(self, now: float, message: MessageState, event: MessageEvent) -> None:
-        """Change the stage of a message by MESSAGE_TRANSITIONS. KeyError: no such transition."""
+        """Change a message's stage by MESSAGE_TRANSITIONS. Raises KeyError if there is no such transition."""
         message.stage, effect = MESSAGE_TRANSITIONS[message.stage, event]
         self.pending_count -= message.stage is MessageStage.FINISHED
         if message.queued:
@@ -913,14 +921,14 @@
         if key_queue.cooldown_until > now and (head is None or head is not key_queue.cooldown_exempt):
             heapq.heappush(self.cooldowns, (key_queue.cooldown_until, next(self.sequence), key_queue))
         elif head is None:
-            # Unless other messages of the key have come since, which have a queue of their own.
+            # Unless this queue was removed before, and later messages of the key have a new one.
             if self.key_queues.get(key_queue.key) is key_queue:
                 del self.key_queues[key_queue.key]
         elif head.stage is MessageStage.WAITING and not head.queued and self.has_turn(now, head):
             self.enqueue(now, head)
 
     def has_turn(self, now: float, message: MessageState) -> bool:
-        """Whether its key is not cooling down, and has no earlier message pending in any process."""
+        """Whether a message's key is not cooling down, and has no earlier message pending in any process."""
         if (key_queue := message.key_queue) is None:
             return True
         first_at_peers = self.peer_load.first_accepted_at.get(key_queue.key, inf)
@@ -1010,7 +1018,7 @@
         )
 
     def urgency(self, now: float, message: MessageState) -> float:
-        """By how much a message goes before others: importance by age, for each second of a slot."""
+        """Priority of a message: its importance, grown by its age, per second that it takes a slot."""
         # Importance grows with age, so that no queue class starves; it starts at half, which keeps classes
         # apart. Divided by the time of a slot, so that receivers that respond slowly do not take the slots
         # of others.
@@ -1035,7 +1043,7 @@
         ]
         if len(routes) > 1 and message.last_route in routes:
             routes.remove(message.last_route)  # a further attempt goes over another route if it can
-        # Routes whose rate is not known start as equals of those that advertised theirs.
+        # Routes whose rate is not known count with the mean of the known rates.
         rates = [self.route_rate(route) for route in routes]
         known_rates = [rate for rate in rates if rate]
         mean_rate = sum(known_rates) / len(known_rates) if known_rates else 1.0
@@ -1087,7 +1095,7 @@
                 or destination.calls_in_flight >= most
                 or not self.fits_shared_windows(route, 1)
             )
-            # Overdue calls do not count in the window: a few silent ones would close a destination for the
+            # Overdue calls do not count in the window: a few silent ones would block a destination for the
             # lifetime of their messages.
             if crowded or (
                 not trial
@@ -1111,21 +1119,21 @@
             destination.calls_in_flight += 1
             route.credit -= 1
         else:
-            # A further message in a call is more work for the receiver, though no further call. It counts a
-            # little, and fully while the route is cold.
+            # A further message in a call is more work for the receiver, though no further call. It takes a
+            # little credit, and more while the route is cold.
             route.credit -= 0.08 if self.slow_start(now, route) == 1 else 0.25
-        patience = set_timeout or min(
+        attempt_timeout = set_timeout or min(
             message.submitted.queue_class.tag_memory_time / 2,
             call.overdue_after * 2 ** (1 + message.attempts),
         )
-        patience = (
+        attempt_timeout = (
             inf
             if call.once_only and not set_timeout
             else call.overdue_after
             if trial and not set_timeout
-            else patience
+            else attempt_timeout
         )
-        timeout = min(message.expires_at - now, patience)
+        timeout = min(message.expires_at - now, attempt_timeout)
         message.attempts, message.outstanding, message.last_route = (
             message.attempts + 1,
             message.outstanding + 1,
@@ -1173,7 +1181,7 @@
                 self.send_attempt(now, message, route)
 
     def cancel_attempts(self, message: MessageState) -> None:
-        """Cancel the hedged attempts of a message that needs them no more."""
+        """Cancel all attempts in flight of a message that needs them no more."""
         for call in self.calls if message.outstanding and self.may_cancel else ():
             self.effects += [
                 interface.Cancel(attempt) for attempt in call.attempts if attempt.message is message.submitted
@@ -1182,7 +1190,7 @@
     def start_trials(self, now: float, destination: DestinationState) -> None:
         """Start one trial for each route whose circuit is open and whose backoff is over.
 
-        It is made with a message that can bear failing; a probe goes where there is none.
+        It is made with the message that is safest to repeat; a probe goes where there is none.
         """
         for route in destination.routes.values():
             not_due = now < route.no_sends_until or (route.credit < 1 and not self.is_failing(route))
@@ -1204,7 +1212,7 @@
     def pop_trial_message(
         self, now: float, destination: DestinationState, route: RouteState
     ) -> MessageState | None:
-        """Take a message that can bear failing; a once-only one if there is no other and no probe either."""
+        """Take the message that is safest to repeat; a once-only one if there is no other and no probe."""
         queues = (destination.retries, *destination.first_attempts.values())
         candidates = [queue for queue in queues if queue and self.may_attempt(now, queue[0])]
         candidates = [queue for queue in candidates if queue[0].bound_zone in (None, route.listed.zone)]
@@ -1219,7 +1227,10 @@
         )
 
     def make_room(self, now: float) -> None:
-        """Defer the messages of least importance before new ones would have to be refused."""
+        """Defer messages of the destination with the longest queue, the least important first.
+
+        This is done before new messages would have to be refused.
+        """
         # Two more messages may come before the next turn.
         while self.pending_count + self.peer_load.pending > self.room - 2:
             destination = max(self.queued_destinations, key=lambda other: other.queue_length, default=None)
--- a/laureldock/replication/subscriber.py
+++ b/laureldock/replication/subscriber.py
@@ -52,7 +52,8 @@
 MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT = 3.5, 56.0
 # Longer than the other timeouts: the controller's rate limit may delay a part of a snapshot.
 SNAPSHOT_TIMEOUT = 64.0
-# Delay from an unreadable change to the request of a snapshot (with the next change); it doubles each time.
+# Delay from an unreadable change, a refused snapshot or too many pending changes to the request of a snapshot
+# (with the next change); it doubles each time.
 MIN_SNAPSHOT_RETRY, MAX_SNAPSHOT_RETRY = 60.0, 3840.0
 MAX_REPORTED_FAULTS = 20
 
@@ -161,12 +162,12 @@
         self._connection_state = ConnectionState.DISCONNECTED
         self._connect_at = inf
         self._deadline = inf  # of the connection attempt in progress
-        self._failed_connect_count = 0  # connection attempts since the last message from a controller
+        self._failed_connect_count = 0  # failed or lost connections since a controller's last message
         self._connect_count = 0  # connection attempts in total; selects the next controller
         self._random_draws = 0
         self._last_received_at = self._last_sent_at = -inf
         self._awaiting_response = False  # a subscription was sent, and no usable message has arrived since
-        self._last_progress_at = -inf
+        self._last_progress_at = -inf  # when a subscription was sent, or a usable change or part arrived
         self._behind_since = inf  # when a heartbeat first announced a change that has not arrived
         self._response_timeout = MIN_RESPONSE_TIMEOUT
         self._effects: list[Effect] = []
@@ -397,6 +398,7 @@
         self._request_apply(ApplyChange(message.position, message.digest, message.accepted_at, change, body))
 
     def _add_unreadable(self, now: float) -> None:
+        """Refuse later changes; the first of them after the retry delay requests a snapshot."""
         self.pending.add_unreadable()
         self._retry_snapshot_at = now + self._snapshot_retry
         self._snapshot_retry = min(MAX_SNAPSHOT_RETRY, 2 * self._snapshot_retry)
@@ -410,7 +412,7 @@
             return
         self._note_progress(now)
         if not newer and not self._inconsistent and self._snapshot_needed:
-            # An old snapshot: the changes after it may make the refused one applicable.
+            # An old snapshot: the changes after it may make the refused change applicable.
             self._snapshot_needed = False
             return
         self._snapshot = IncomingSnapshot(begin)
