--- a/laureldock/carriers/http.py
+++ b/laureldock/carriers/http.py
@@ -42,7 +42,7 @@
         self.route, self.address, self.now, self.all_idle = route, address, now, all_idle
         self.idle: list[
             tuple[float, HttpConnection]
-        ] = []  # each with the time since when, the longest idle first
+        ] = []  # each with when it became idle, longest idle first
 
     def close_idle(self, idle_for: float = 0.0) -> None:
         """Close the connections that have been idle for at least this many seconds."""
@@ -102,7 +102,10 @@
         time_limit = message.call_timeout(attempt.timeout, self.core.now())
         head = [b"POST /hook HTTP/1.1", b"X-Call-Id: " + message.name]
         head += [b"Idempotency-Key: " + message.tag] if message.tag else []
-        head += [b"X-Budget: %dm" % max(1, time_limit * 1000), b"Content-Length: %d" % len(message.body)]
+        head += [  # the budget is in milliseconds
+            b"X-Budget: %dm" % max(1, time_limit * 1000),
+            b"Content-Length: %d" % len(message.body),
+        ]
 
         def may_send() -> bool:
             return self.core.may_start(attempt, message)
@@ -228,7 +231,7 @@
     def connected(self, connection: HttpConnection) -> None:
         self.connecting = None
         connection.on_idle, connection.on_closed = self.pool.release, self.connection_closed
-        # In the next turn of the reactor, after it has read all input that is ready in this one.
+        # In the next iteration of the reactor, after it has read all input that is ready in this one.
         self.carrier.core.call_later(0, self.send, connection)
 
     def connection_closed(self, connection: HttpConnection) -> None:
@@ -272,7 +275,10 @@
             self.finish(CallResult.NOT_CONNECTED)
 
     def response_started(self, status: int, headers: Headers) -> None:
-        """A status line of 200 holds whatever follows; the rest is read only to reuse the connection."""
+        """A status of 200 means delivered, whatever follows.
+
+        The rest is read only to reuse the connection, for at most the time that connecting may take.
+        """
         if status == 200 and not self.finished and self.connection:
             self.finish(CallResult.DELIVERED, headers)
             core = self.carrier.core
