--- a/benchmarks/ramp.py
+++ b/benchmarks/ramp.py
@@ -18,7 +18,7 @@
 import zlib
 from math import sqrt
 
-from dock import Dock
+from drivers import PolicyDriver
 
 RATE, START_CAPACITY, WARM_TIME, MULTIPLE, FALL_TIME = 10.0, 0.2, 10.0, 2.0, 3.0
 FAILS_AT, RECOVERS_AT, ENDS_AT = 4.0, 12.0, 26.0
@@ -46,7 +46,7 @@
 
 def play(size: int, observers: str, seed: int, restart: bool = False) -> tuple[int, int, int, float, float]:
     """Windows, those over the bound, those of them due to observers, calls over N, fraction served."""
-    docks = [fresh(size, seed, number) for number in range(size)]
+    drivers = [fresh(size, seed, number) for number in range(size)]
     # Whether an instance receives messages before the recovery.
     informed = [number <= OBSERVERS[observers] * size for number in range(size)]
     observed = [False] * size
@@ -57,26 +57,26 @@
         down = FAILS_AT <= now < RECOVERS_AT
         if restart and abs(now - RECOVERS_AT) < step / 2:
             for number in range(0, size, 2):
-                docks[number], observed[number] = fresh(size, seed + 1000, number), False
+                drivers[number], observed[number] = fresh(size, seed + 1000, number), False
         for source in range(2):  # 0.8 of the limit, half of it on a tenth of the instances
             if pseudo_random(seed, now, source) < 0.8 * RATE * step / 2:
                 draw = pseudo_random(seed, now, source, "who")
                 subset = max(1, size // 10)
                 who = int(draw * 2 * subset) if draw < 0.5 else int((draw - 0.5) * 2 * size)
                 if now >= RECOVERS_AT or informed[who]:
-                    docks[who].mail(f"m{now:.2f}/{source}", "redeliverable", left=20.0)
+                    drivers[who].accept(f"m{now:.2f}/{source}", "redeliverable", lifetime=20.0)
                     offered += now >= RECOVERS_AT
-        for number, dock in enumerate(docks):
-            dock.after(step)
-            for name, attempt in sorted(dock.out.items()):
-                due = dock.calls.setdefault(attempt, now)
-                if due == now and now >= RECOVERS_AT:
+        for number, driver in enumerate(drivers):
+            driver.advance(step)
+            for name, attempt in sorted(driver.attempts.items()):
+                started_at = driver.attempt_started_at.setdefault(attempt, now)
+                if started_at == now and now >= RECOVERS_AT:
                     sent.append((now, observed[number]))
-                if down and now - due < 1.5:
+                if down and now - started_at < 1.5:
                     continue
                 observed[number] = observed[number] or down
                 served += not down and now >= RECOVERS_AT
-                dock.end(name, "no connection" if down else "served", took=1.5 if down else 0.1)
+                driver.end_attempt(name, "no connection" if down else "served", duration=1.5 if down else 0.1)
         now += step
     windows = over = due_to_observers = 0
     total = 0.0
@@ -92,17 +92,19 @@
     return windows, over, due_to_observers, total / max(1, windows), served / max(1, offered)
 
 
-def fresh(size: int, seed: int, number: int) -> Dock:
+def fresh(size: int, seed: int, number: int) -> PolicyDriver:
     changes = {
         "start_capacity": START_CAPACITY,
         "tip_multiple": MULTIPLE,
         "fall_time": FALL_TIME,
         "warm_time": WARM_TIME,
     }
-    dock = Dock(instances=size, seed=seed * 1000 + number, connect_timeout=1.5, max_attempts=9, **changes)
-    dock.listed("north/1", rate=RATE)
-    dock.listed(*(f"other/{index}" for index in range(20)))
-    return dock
+    driver = PolicyDriver(
+        instances=size, seed=seed * 1000 + number, connect_timeout=1.5, max_attempts=9, **changes
+    )
+    driver.update_list("north/1", rate=RATE)
+    driver.update_list(*(f"other/{index}" for index in range(20)))
+    return driver
 
 
 def main() -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that are red for a real fault: `KNOWN-RED.txt` at the root has a line each of test, cause and issue.
+"""Known failing tests: each line of `KNOWN-RED.txt` in the root has a test id, the cause and the issue.
 
-They run and may fail; each is printed with its outcome. More than three lines, or a test that is not there,
-fail the run.
+These tests run and may fail; the summary states the outcome of each. More than three lines, or a line whose
+test does not exist, fail the run.
 """
 
 from __future__ import annotations
@@ -10,41 +10,41 @@
 
 import pytest
 
-MOST = 3
-KNOWN = pytest.StashKey[dict[str, str]]()
+MAX_KNOWN_FAILURES = 3
+KNOWN_FAILURES = pytest.StashKey[dict[str, str]]()
 
 
-def known_red(path: Path) -> dict[str, str]:
-    """Of each test, by its id, the cause and the issue. ValueError for what the page does not allow."""
+def read_known_failures(path: Path) -> dict[str, str]:
+    """Cause and issue by test id. Raises ValueError for a malformed line or too many of them."""
     lines = path.read_text().splitlines() if path.exists() else []
-    found = {}
+    known = {}
     for line in (line for line in lines if line.strip()):
         test, *rest = (part.strip() for part in line.split(" | "))
         if len(rest) != 2 or not all((test, *rest)):
             raise ValueError(f"not a line of test | cause | issue: {line}")
-        found[test] = ", ".join(rest)
-    if len(lines) > MOST:
-        raise ValueError(f"{len(lines)} lines, {MOST} at most")
-    return found
+        known[test] = ", ".join(rest)
+    if len(lines) > MAX_KNOWN_FAILURES:
+        raise ValueError(f"{len(lines)} lines, {MAX_KNOWN_FAILURES} at most")
+    return known
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     try:
-        known = config.stash[KNOWN] = known_red(config.rootpath / "KNOWN-RED.txt")
-    except ValueError as fault:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {fault}") from None
+        known = config.stash[KNOWN_FAILURES] = read_known_failures(config.rootpath / "KNOWN-RED.txt")
+    except ValueError as error:
+        raise pytest.UsageError(f"KNOWN-RED.txt: {error}") from None
     for item in items:
         if item.nodeid in known:
             item.add_marker(pytest.mark.xfail(reason=known[item.nodeid], strict=False))
-    there = {item.nodeid for item in items}
-    whole = not config.option.keyword and config.args == config.getini("testpaths")
-    if whole and (gone := [test for test in known if test not in there]):
-        raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {', '.join(gone)}")
+    collected = {item.nodeid for item in items}
+    all_collected = not config.option.keyword and config.args == config.getini("testpaths")
+    if all_collected and (missing := [test for test in known if test not in collected]):
+        raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {', '.join(missing)}")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for kind, word in (("xfailed", "failed"), ("xpassed", "PASSED: it comes off the list")):
-        for report in terminalreporter.getreports(kind):
-            if report.nodeid in config.stash.get(KNOWN, {}):
-                cause = config.stash[KNOWN][report.nodeid]
-                terminalreporter.write_line(f"known red: {report.nodeid} ({cause}): {word}")
+    for outcome, text in (("xfailed", "failed"), ("xpassed", "PASSED: it comes off the list")):
+        for report in terminalreporter.getreports(outcome):
+            if report.nodeid in config.stash.get(KNOWN_FAILURES, {}):
+                cause = config.stash[KNOWN_FAILURES][report.nodeid]
+                terminalreporter.write_line(f"known red: {report.nodeid} ({cause}): {text}")
--- a/tests/replication_world.py
+++ b/tests/replication_world.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import structlog
-from assembled import unheard
+from offline_assembly import drop_event
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
@@ -198,7 +198,7 @@
 
     def start_controller(self) -> None:
         service = self.service_class(load(str(self.file)).plan, self.folder / "state", self.reactor)
-        service.log = structlog.wrap_logger(None, processors=[unheard])
+        service.log = structlog.wrap_logger(None, processors=[drop_event])
         service.start()
         self.service = service
         append = service.state.log.append
--- a/tests/test_catalog_property.py
+++ b/tests/test_catalog_property.py
@@ -10,10 +10,10 @@
 
 import msgspec
 import pytest
-from assembled import Assembled
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from msgspec import structs
+from offline_assembly import OfflineAssembly
 
 from laureldock.setup.catalog import Catalog, RefusedChangeError
 from laureldock.setup.changes import (
@@ -248,22 +248,22 @@
     held = Held()
     with TemporaryDirectory() as folder, ExitStack() as ends:
         following, reloading, restarted = (
-            ends.enter_context(closing(Assembled(plan, Path(folder, name))))
+            ends.enter_context(closing(OfflineAssembly(plan, Path(folder, name))))
             for name, plan in (("following", BASE), ("reloading", equivalent_plan({})), ("restarted", BASE))
         )
         for change in drawn(data, held):
-            after, before = changed(held, change), following.state()
+            after, before = changed(held, change), following.dispatch_state()
             if after is None:
                 with pytest.raises(RefusedChangeError):
                     following.apply_change(refusable(held, change))
-                assert following.state() == before
+                assert following.dispatch_state() == before
                 continue
             update(held, after)
             following.apply_change(change)
-            reloading.reloaded(equivalent_plan(held))
-            expect_same(following.state(), reloading.state())
+            reloading.apply_reload(equivalent_plan(held))
+            expect_same(following.dispatch_state(), reloading.dispatch_state())
         restarted.replace_entries(held.values())
-        expect_same(restarted.state(), listed_alone(following.state()))
+        expect_same(restarted.dispatch_state(), listed_alone(following.dispatch_state()))
         assert not any(each.core.counters["faults"] for each in (following, reloading, restarted))
 
 
@@ -278,7 +278,9 @@
     return state | {
         "destinations": {name: each for name, each in state["destinations"].items() if name in listed},
         "terms": {name: each for name, each in state["terms"].items() if name[1] in listed},
-        "lines": {name: each for name, each in state["lines"].items() if name in listed},
+        "destination_states": {
+            name: each for name, each in state["destination_states"].items() if name in listed
+        },
     }
 
 
--- a/tests/test_changes_in_flight.py
+++ b/tests/test_changes_in_flight.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 import pytest
-from assembled import Assembled
 from msgspec import structs
+from offline_assembly import OfflineAssembly
 from test_catalog import BASE, CHANGES, calls_of, destination, endpoint, put, removal, terms
 
 from laureldock import interface
@@ -19,15 +19,15 @@
 from laureldock.setup.plan import Customer
 from laureldock.setup.units import Seconds
 
-Start = Callable[[str], Assembled]
+Start = Callable[[str], OfflineAssembly]
 
 
 @pytest.fixture
 def start(tmp_path: Path) -> Iterator[Start]:
-    found: list[Assembled] = []
+    found: list[OfflineAssembly] = []
 
-    def start_dispatcher(name: str) -> Assembled:
-        found.append(Assembled(BASE, tmp_path / name))
+    def start_dispatcher(name: str) -> OfflineAssembly:
+        found.append(OfflineAssembly(BASE, tmp_path / name))
         return found[-1]
 
     yield start_dispatcher
@@ -36,7 +36,7 @@
         assert not each.core.counters["faults"]
 
 
-def accept_message(dispatcher: Assembled, customer: str = "") -> interface.Message:
+def accept_message(dispatcher: OfflineAssembly, customer: str = "") -> interface.Message:
     book, core = dispatcher.core.book, dispatcher.core
     message = book.new_message(book.classes["news"], "north", 9.0, customer)
     core.control.message_accepted(core.now(), message)
@@ -89,10 +89,10 @@
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north")))
     assert dispatcher.catalog is not None
-    before = dispatcher.state(), dispatcher.catalog.digest
+    before = dispatcher.dispatch_state(), dispatcher.catalog.digest
     with pytest.raises(RefusedChangeError):
         dispatcher.apply_change(put(endpoint("n2", "north", 9002), destination("nowhere")))
-    assert (dispatcher.state(), dispatcher.catalog.digest) == before
+    assert (dispatcher.dispatch_state(), dispatcher.catalog.digest) == before
 
 
 def test_pools_and_caches_keep_nothing_of_removed_entries(start: Start) -> None:
@@ -136,10 +136,10 @@
 def test_a_reloaded_file_that_contradicts_the_controllers_entries_is_refused(start: Start) -> None:
     dispatcher = start("one")
     dispatcher.apply_change(put(endpoint("n1", "north", time_out=Seconds(2))))
-    before = dispatcher.state()
+    before = dispatcher.dispatch_state()
     news = structs.replace(BASE.classes["news"], time_out=Seconds(3))
     faults = dispatcher.reload(Prepared.of(structs.replace(BASE, classes=BASE.classes | {"news": news})))
-    assert faults and "equally specific" in faults[0] and dispatcher.state() == before
+    assert faults and "equally specific" in faults[0] and dispatcher.dispatch_state() == before
     assert dispatcher.core.counters["configurations refused"] == 1
     dispatcher.apply_change(removal("endpoint.n1"))
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -210,7 +210,7 @@
 
 
 def test_invalid_files_are_refused_each_with_its_faults(tmp_path: Path) -> None:
-    from dock import Trace
+    from drivers import Trace
 
     path, trace = tmp_path / "laureldock.toml", Trace()
     assert not faults(path, BASE)
@@ -219,7 +219,7 @@
         found = faults(path, text)
         assert found, case
         trace.lines += [f"{case}", *(f"    {line}" for line in found)]
-    assert len(cases) >= 80 and trace.same_as("refused")
+    assert len(cases) >= 80 and trace.matches_trace("refused")
 
 
 def test_all_faults_are_printed_in_one_run_with_exit_code_2_and_no_traceback(tmp_path: Path) -> None:
@@ -438,17 +438,17 @@
 
 def test_a_reload_applies_customers_and_recreates_an_endpoint_of_another_zone(tmp_path: Path) -> None:
     """Earlier, a reload ignored both, and led to another state than a controller's changes."""
-    from assembled import Assembled
+    from offline_assembly import OfflineAssembly
 
     path = tmp_path / "laureldock.toml"
     customers = "[customer.kept]\nquota = 2.0\n[customer.other]\nquota = {quota}\n"
     path.write_text(BASE + customers.format(quota=1.0))
-    dispatcher = Assembled(load(str(path)).plan, tmp_path / "state")
+    dispatcher = OfflineAssembly(load(str(path)).plan, tmp_path / "state")
     try:
         registry = dispatcher.core.book
         kept, route = registry.customers["kept"], registry.routes["s1"]
         path.write_text(BASE + 'zone = "b"\n' + customers.format(quota=3.0))
-        dispatcher.reloaded(load(str(path)).plan)
+        dispatcher.apply_reload(load(str(path)).plan)
         assert registry.customers["kept"] is kept and registry.customers["other"].quota == 3.0
         assert registry.routes["s1"].zone == "b" and route.listed_state.value == "removed"
         assert not dispatcher.core.counters["configurations refused"]
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from shore import Peer, Shore
+from socket_dispatcher import Connection, SocketDispatcher
 
 from laureldock.core.ends import End
 from laureldock.interface import Attempt
@@ -21,29 +21,29 @@
 
 
 @pytest.fixture
-def shore(tmp_path: Path) -> Iterator[Shore]:
-    here = Shore(tmp_path)
-    yield here.ready()
-    here.end()
+def dispatcher(tmp_path: Path) -> Iterator[SocketDispatcher]:
+    dispatcher = SocketDispatcher(tmp_path)
+    yield dispatcher.start_until_ready()
+    dispatcher.close()
 
 
-def taken(shore: Shore, name: str, sort: str = "charge", left: int = 9000) -> Peer:
-    peer = shore.client()
-    peer.send(shore.put(name, sort, left=left))
-    shore.until(lambda: peer.pull() == OK)
+def taken(dispatcher: SocketDispatcher, name: str, sort: str = "charge", left: int = 9000) -> Connection:
+    peer = dispatcher.connect_client()
+    peer.send(dispatcher.put_request(name, sort, lifetime=left))
+    dispatcher.step_until(lambda: peer.receive() == OK)
     return peer
 
 
-def warm(shore: Shore) -> Peer:
+def warm(dispatcher: SocketDispatcher) -> Connection:
     """A connection at rest, that has carried a call."""
-    taken(shore, "first", "news")
-    link = shore.serve("first")
-    shore.until(lambda: not shore.core.store.owed and shore.assembly.receivers.pools)
+    taken(dispatcher, "first", "news")
+    link = dispatcher.respond("first")
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed and dispatcher.assembly.receivers.pools)
     return link
 
 
-def ends(shore: Shore) -> dict[str, int]:
-    return {name[7:]: count for name, count in shore.core.counters.items() if name.startswith("ended: ")}
+def ends(dispatcher: SocketDispatcher) -> dict[str, int]:
+    return {name[7:]: count for name, count in dispatcher.core.counters.items() if name.startswith("ended: ")}
 
 
 def as_it_is_written(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
@@ -82,202 +82,211 @@
     ],
 )
 @pytest.mark.parametrize("end", ["close", "reset", "silence"])
-def test_a_begun_answer_and_then_its_end(shore: Shore, begun: bytes, served: bool, end: str) -> None:
+def test_a_begun_answer_and_then_its_end(
+    dispatcher: SocketDispatcher, begun: bytes, served: bool, end: str
+) -> None:
     """A first line of 200 holds, whatever follows it. All else may have run: once-only goes not twice."""
-    shore.settle()
-    taken(shore, "a", left=1200)
-    link, began = shore.serve("a", begun), time.monotonic()
+    dispatcher.skip_opening_period()
+    taken(dispatcher, "a", left=1200)
+    link, began = dispatcher.respond("a", begun), time.monotonic()
     if end == "close":
         link.close()
     elif end == "reset":
-        shore.spend(0.05)
+        dispatcher.step_for(0.05)
         link.reset()
-    shore.until(lambda: not shore.core.store.owed)
-    assert shore.core.counters["relayed"] == served
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert dispatcher.core.counters["relayed"] == served
     if served:  # at once: it once held its slot, and its key, up to the time-out
         assert time.monotonic() - began < 0.4
     told = [] if served else ['{"message":"a","outcome":"given_up"}']
-    assert shore.platform.notices == told
-    assert len(shore.receiver.peers) == 1
+    assert dispatcher.platform.notices == told
+    assert len(dispatcher.receiver.connections) == 1
 
 
-def test_a_reset_long_after_its_answer_says_nothing_of_the_mail(shore: Shore) -> None:
-    link = warm(shore)
-    shore.spend(0.3)
+def test_a_reset_long_after_its_answer_says_nothing_of_the_mail(dispatcher: SocketDispatcher) -> None:
+    link = warm(dispatcher)
+    dispatcher.step_for(0.3)
     link.reset()
-    shore.spend(0.1)
-    taken(shore, "a")
-    shore.serve("a")
-    shore.until(lambda: not shore.core.store.owed)
-    assert ends(shore) == {"200": 2} and not shore.platform.notices
+    dispatcher.step_for(0.1)
+    taken(dispatcher, "a")
+    dispatcher.respond("a")
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert ends(dispatcher) == {"200": 2} and not dispatcher.platform.notices
 
 
 @pytest.mark.parametrize("stray", [SERVED, FULL, b"HTTP/1.1 410 Gone\r\n\r\n", b"\r\n"])
 def test_bytes_that_come_before_the_call_is_written_answer_nothing(
-    shore: Shore, monkeypatch: pytest.MonkeyPatch, stray: bytes
+    dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch, stray: bytes
 ) -> None:
     """They come between the look at the resting connection and the call. A 200 ended the mail unsent, and a
     503 had it sent a second time, while the first call went out with the close."""
-    link = warm(shore)
+    link = warm(dispatcher)
     as_it_is_written(monkeypatch, lambda: link.send(stray))
-    taken(shore, "a")
-    shore.until(lambda: len(shore.receiver.peers) == 2)
-    shore.serve("a")
-    shore.until(lambda: not shore.core.store.owed)
-    assert shore.calls().count("a") == 1  # nothing of it went out on the first
-    assert ends(shore) == {"200": 2, End.UNREACHED.value: 1}
+    taken(dispatcher, "a")
+    dispatcher.step_until(lambda: len(dispatcher.receiver.connections) == 2)
+    dispatcher.respond("a")
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert dispatcher.received_calls().count("a") == 1  # nothing of it went out on the first
+    assert ends(dispatcher) == {"200": 2, End.UNREACHED.value: 1}
 
 
-@pytest.mark.parametrize("how", [Peer.close, Peer.reset])
+@pytest.mark.parametrize("how", [Connection.close, Connection.reset])
 def test_a_resting_connection_closed_as_a_call_is_written(
-    shore: Shore, monkeypatch: pytest.MonkeyPatch, how: Callable[[Peer], None]
+    dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch, how: Callable[[Connection], None]
 ) -> None:
     """Before its first byte is in the kernel it has not run, and goes again at once."""
-    link = warm(shore)
+    link = warm(dispatcher)
     as_it_is_written(monkeypatch, lambda: how(link))
-    taken(shore, "a")
-    shore.until(lambda: len(shore.receiver.peers) == 2)
-    shore.serve("a")
-    shore.until(lambda: not shore.core.store.owed)
-    assert ends(shore) == {"200": 2, End.UNREACHED.value: 1} and not shore.platform.notices
+    taken(dispatcher, "a")
+    dispatcher.step_until(lambda: len(dispatcher.receiver.connections) == 2)
+    dispatcher.respond("a")
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert ends(dispatcher) == {"200": 2, End.UNREACHED.value: 1} and not dispatcher.platform.notices
 
 
 def test_a_connection_reset_as_the_last_byte_has_left_may_have_run(
-    shore: Shore, monkeypatch: pytest.MonkeyPatch
+    dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    link = warm(shore)
+    link = warm(dispatcher)
     sent_whole(monkeypatch, link.reset)
-    taken(shore, "a")
-    shore.until(lambda: shore.platform.notices)
-    assert shore.platform.notices == ['{"message":"a","outcome":"given_up"}']
-    assert ends(shore) == {"200": 1, End.BROKEN.value: 1} and len(shore.receiver.peers) == 1
+    taken(dispatcher, "a")
+    dispatcher.step_until(lambda: dispatcher.platform.notices)
+    assert dispatcher.platform.notices == ['{"message":"a","outcome":"given_up"}']
+    assert ends(dispatcher) == {"200": 1, End.BROKEN.value: 1} and len(dispatcher.receiver.connections) == 1
 
 
 def test_a_connection_that_comes_up_after_its_mail_has_ended_carries_nothing(
-    shore: Shore, monkeypatch: pytest.MonkeyPatch
+    dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Up and not yet spoken on, as its mail's time is over."""
     errands: list[Any] = []
     monkeypatch.setattr(
         "laureldock.carriers.http.Errand.go", lambda errand, line: errands.append((errand, line))
     )
-    taken(shore, "a", left=1600)
-    shore.until(lambda: errands)
+    taken(dispatcher, "a", left=1600)
+    dispatcher.step_until(lambda: errands)
     monkeypatch.undo()
-    shore.until(lambda: shore.platform.notices)
+    dispatcher.step_until(lambda: dispatcher.platform.notices)
     errand, line = errands[0]
     errand.go(line)
-    shore.spend(0.2)
-    assert shore.calls() == [] and json.loads(shore.platform.notices[0])["outcome"] == "handed_back"
-    assert shore.assembly.receivers.out == 0
+    dispatcher.step_for(0.2)
+    assert (
+        dispatcher.received_calls() == []
+        and json.loads(dispatcher.platform.notices[0])["outcome"] == "handed_back"
+    )
+    assert dispatcher.assembly.receivers.out == 0
 
 
-def test_an_answer_that_lies_in_the_kernel_in_the_turn_of_the_time_out(shore: Shore) -> None:
-    taken(shore, "a", "stamp")
-    link = shore.call("a")
+def test_an_answer_that_lies_in_the_kernel_in_the_turn_of_the_time_out(dispatcher: SocketDispatcher) -> None:
+    taken(dispatcher, "a", "stamp")
+    link = dispatcher.wait_for_call("a")
     link.send(SERVED)
     time.sleep(1.2)  # a stall of the process, past the time-out
-    shore.until(lambda: not shore.core.store.owed)
-    assert ends(shore) == {"200": 1} and not shore.platform.notices
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert ends(dispatcher) == {"200": 1} and not dispatcher.platform.notices
 
 
 @pytest.mark.parametrize(("sort", "outcome"), [("news", "handed_back"), ("charge", "given_up")])
 def test_an_answer_that_comes_as_its_mails_lifetime_ends_is_no_delivery(
-    shore: Shore, sort: str, outcome: str
+    dispatcher: SocketDispatcher, sort: str, outcome: str
 ) -> None:
     """Read in the very turn in which its call was to be stopped, it ended the mail, and nobody heard."""
-    shore.settle()
-    taken(shore, "a", sort, left=800)
-    link = shore.call("a")
+    dispatcher.skip_opening_period()
+    taken(dispatcher, "a", sort, left=800)
+    link = dispatcher.wait_for_call("a")
     link.send(SERVED)
     time.sleep(0.9)
-    shore.until(lambda: not shore.core.store.owed and not shore.core.outlet.waiting)
-    assert [json.loads(line)["outcome"] for line in shore.platform.notices] == [outcome]
-    assert ends(shore) == {End.TOO_LATE.value: 1}
-    assert shore.core.counters["relayed"] == 0 and len(shore.receiver.peers) == 1
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed and not dispatcher.core.outlet.waiting)
+    assert [json.loads(line)["outcome"] for line in dispatcher.platform.notices] == [outcome]
+    assert ends(dispatcher) == {End.TOO_LATE.value: 1}
+    assert dispatcher.core.counters["relayed"] == 0 and len(dispatcher.receiver.connections) == 1
 
 
-def test_an_answer_that_comes_as_its_call_is_called_off(shore: Shore) -> None:
+def test_an_answer_that_comes_as_its_call_is_called_off(dispatcher: SocketDispatcher) -> None:
     """Read before the decision was carried out, it is the end of the mail."""
-    taken(shore, "a", "charge")
-    link = shore.call("a")
-    attempt: Attempt = next(iter(shore.assembly.receivers.errands))
+    taken(dispatcher, "a", "charge")
+    link = dispatcher.wait_for_call("a")
+    attempt: Attempt = next(iter(dispatcher.assembly.receivers.errands))
     link.send(SERVED)
-    shore.assembly.receivers.cancel(attempt)
-    shore.until(lambda: not shore.core.store.owed)
-    assert ends(shore) == {"200": 1} and not shore.platform.notices
+    dispatcher.assembly.receivers.cancel(attempt)
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert ends(dispatcher) == {"200": 1} and not dispatcher.platform.notices
 
 
-def test_a_call_called_off_with_half_an_answer_come_is_not_waited_for_without_end(shore: Shore) -> None:
-    taken(shore, "a", "charge")
-    link = shore.call("a")
-    attempt: Attempt = next(iter(shore.assembly.receivers.errands))
+def test_a_call_called_off_with_half_an_answer_come_is_not_waited_for_without_end(
+    dispatcher: SocketDispatcher,
+) -> None:
+    taken(dispatcher, "a", "charge")
+    link = dispatcher.wait_for_call("a")
+    attempt: Attempt = next(iter(dispatcher.assembly.receivers.errands))
     link.send(b"HTTP/1.1 20")
-    shore.assembly.receivers.cancel(attempt)
-    shore.until(lambda: not shore.core.store.owed, most=1.0)
-    assert ends(shore) == {End.CALLED_OFF.value: 1}
-    assert shore.platform.notices == ['{"message":"a","outcome":"given_up"}']
+    dispatcher.assembly.receivers.cancel(attempt)
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed, timeout=1.0)
+    assert ends(dispatcher) == {End.CALLED_OFF.value: 1}
+    assert dispatcher.platform.notices == ['{"message":"a","outcome":"given_up"}']
 
 
-def until_given_up(shore: Shore, link: Peer) -> None:
+def until_given_up(dispatcher: SocketDispatcher, link: Connection) -> None:
     """Until the receiver can see that its call is given up."""
-    shore.until(lambda: link.pull() and link.ended)
+    dispatcher.step_until(lambda: link.receive() and link.ended_by)
 
 
-def test_an_answer_that_crosses_the_end_of_its_lifetime_is_a_delivery(shore: Shore) -> None:
+def test_an_answer_that_crosses_the_end_of_its_lifetime_is_a_delivery(dispatcher: SocketDispatcher) -> None:
     """Written before its receiver sees that the call is given up, it once stood beside a notice."""
-    shore.settle()
+    dispatcher.skip_opening_period()
     for name, sort in (("a", "news"), ("b", "charge")):
-        taken(shore, name, sort, left=800)
-        link = shore.call(name)
-        until_given_up(shore, link)
+        taken(dispatcher, name, sort, left=800)
+        link = dispatcher.wait_for_call(name)
+        until_given_up(dispatcher, link)
         link.send(SERVED)
-        shore.until(lambda: not shore.core.store.owed and not shore.core.outlet.waiting)
-    assert ends(shore) == {"200": 2} and not shore.platform.notices
+        dispatcher.step_until(lambda: not dispatcher.core.store.owed and not dispatcher.core.outlet.waiting)
+    assert ends(dispatcher) == {"200": 2} and not dispatcher.platform.notices
 
 
-def test_an_answer_that_crosses_its_time_out_is_a_delivery(shore: Shore) -> None:
-    shore.settle()
-    taken(shore, "a", "stamp")
-    link = shore.call("a")
-    until_given_up(shore, link)
+def test_an_answer_that_crosses_its_time_out_is_a_delivery(dispatcher: SocketDispatcher) -> None:
+    dispatcher.skip_opening_period()
+    taken(dispatcher, "a", "stamp")
+    link = dispatcher.wait_for_call("a")
+    until_given_up(dispatcher, link)
     link.send(SERVED)
-    shore.until(lambda: not shore.core.store.owed)
-    assert ends(shore) == {"200": 1} and shore.calls() == ["a"]
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert ends(dispatcher) == {"200": 1} and dispatcher.received_calls() == ["a"]
 
 
-def served_after_its_cancel(shore: Shore) -> Peer:
+def served_after_its_cancel(dispatcher: SocketDispatcher) -> Connection:
     """The connection of a call that was cancelled, and answered as that was seen."""
-    taken(shore, "a", "charge")
-    link = shore.call("a")
-    shore.assembly.receivers.cancel(next(iter(shore.assembly.receivers.errands)))
-    until_given_up(shore, link)
+    taken(dispatcher, "a", "charge")
+    link = dispatcher.wait_for_call("a")
+    dispatcher.assembly.receivers.cancel(next(iter(dispatcher.assembly.receivers.errands)))
+    until_given_up(dispatcher, link)
     link.send(SERVED)
-    shore.until(lambda: not shore.core.store.owed)
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
     return link
 
 
-def test_an_answer_that_crosses_its_cancel_is_a_delivery(shore: Shore) -> None:
-    served_after_its_cancel(shore)
-    assert ends(shore) == {"200": 1} and not shore.platform.notices
+def test_an_answer_that_crosses_its_cancel_is_a_delivery(dispatcher: SocketDispatcher) -> None:
+    served_after_its_cancel(dispatcher)
+    assert ends(dispatcher) == {"200": 1} and not dispatcher.platform.notices
 
 
-def test_a_connection_on_which_a_call_was_given_up_carries_no_other(shore: Shore) -> None:
-    link = served_after_its_cancel(shore)
-    taken(shore, "b", "news")
-    assert shore.serve("b") is not link
-    shore.until(lambda: not shore.core.store.owed)
-    assert ends(shore) == {"200": 2}  # nothing was tried on it
+def test_a_connection_on_which_a_call_was_given_up_carries_no_other(dispatcher: SocketDispatcher) -> None:
+    link = served_after_its_cancel(dispatcher)
+    taken(dispatcher, "b", "news")
+    assert dispatcher.respond("b") is not link
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert ends(dispatcher) == {"200": 2}  # nothing was tried on it
 
 
-def test_a_receiver_that_does_not_heed_the_end_of_its_call_is_not_waited_for(shore: Shore) -> None:
-    shore.settle()
-    taken(shore, "a", "charge", left=800)
-    began, link = time.monotonic(), shore.call("a")
-    shore.until(lambda: shore.platform.notices)
-    assert time.monotonic() - began < 0.85 and ends(shore) == {End.SILENT.value: 1}
-    shore.spend(0.05)
+def test_a_receiver_that_does_not_heed_the_end_of_its_call_is_not_waited_for(
+    dispatcher: SocketDispatcher,
+) -> None:
+    dispatcher.skip_opening_period()
+    taken(dispatcher, "a", "charge", left=800)
+    began, link = time.monotonic(), dispatcher.wait_for_call("a")
+    dispatcher.step_until(lambda: dispatcher.platform.notices)
+    assert time.monotonic() - began < 0.85 and ends(dispatcher) == {End.SILENT.value: 1}
+    dispatcher.step_for(0.05)
     link.send(SERVED)
-    shore.spend(0.05)
-    assert shore.platform.notices == ['{"message":"a","outcome":"given_up"}']
-    assert ends(shore) == {End.SILENT.value: 1} and not shore.core.store.owed
+    dispatcher.step_for(0.05)
+    assert dispatcher.platform.notices == ['{"message":"a","outcome":"given_up"}']
+    assert ends(dispatcher) == {End.SILENT.value: 1} and not dispatcher.core.store.owed
--- a/tests/test_crossing_exit.py
+++ b/tests/test_crossing_exit.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 import pytest
-from dock import Quay
-from shore import Peer, Shore
+from drivers import InMemoryDispatcher
+from socket_dispatcher import Connection, SocketDispatcher
 from test_process import Process
 from test_process import platform as platform  # a fixture
 
@@ -37,10 +37,10 @@
 
 
 @pytest.fixture
-def shore(tmp_path: Path) -> Iterator[Shore]:
-    here = Shore(tmp_path)
-    yield here
-    here.end()
+def dispatcher(tmp_path: Path) -> Iterator[SocketDispatcher]:
+    dispatcher = SocketDispatcher(tmp_path)
+    yield dispatcher
+    dispatcher.close()
 
 
 # Each step of a mail by the call that takes it, and when a call is that step.
@@ -60,7 +60,7 @@
 class Death:
     """Kills the dispatcher once, right after a step: of what was read, before what that leads to."""
 
-    def __init__(self, shore: Shore, monkeypatch: pytest.MonkeyPatch, step: str) -> None:
+    def __init__(self, dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch, step: str) -> None:
         self.came = False
         owner, name, due = STEPS[step]
         call = getattr(owner, name)
@@ -73,56 +73,59 @@
             done = None if before else call(this, *args, **kwargs)
             if came:
                 self.came = True
-                shore.kill()
+                dispatcher.kill()
             return done
 
         monkeypatch.setattr(owner, name, stepped)
         self.restore = monkeypatch.undo
 
 
-def play(shore: Shore, death: Death, peer: Peer, name: str, answer: bytes) -> bool:
+def play(dispatcher: SocketDispatcher, death: Death, peer: Connection, name: str, answer: bytes) -> bool:
     """The receiver answers each call that comes to it, until the kill; whether the client was told `+OK`."""
-    answered: set[Peer] = set()
+    answered: set[Connection] = set()
     end = time.monotonic() + 8
     while not death.came:
-        assert time.monotonic() < end, shore.core.counters
-        shore.step(0.002)
-        answer_calls(shore, answered, answer)
+        assert time.monotonic() < end, dispatcher.core.counters
+        dispatcher.step(0.002)
+        answer_calls(dispatcher, answered, answer)
     death.restore()
-    shore.platform.work()
-    return peer.pull() == OK
+    dispatcher.platform.handle_requests()
+    return peer.receive() == OK
 
 
-def answer_calls(shore: Shore, answered: set[Peer], answer: bytes) -> None:
-    for link in shore.receiver.peers:
-        if link not in answered and link.link.fileno() >= 0 and b"\r\n\r\nhello" in link.pull():
+def answer_calls(dispatcher: SocketDispatcher, answered: set[Connection], answer: bytes) -> None:
+    for link in dispatcher.receiver.connections:
+        if link not in answered and link.socket.fileno() >= 0 and b"\r\n\r\nhello" in link.receive():
             answered.add(link)
-            if not link.ended:
+            if not link.ended_by:
                 link.send(answer)
 
 
 @pytest.mark.parametrize("sort", ["news", "order", "charge"])
 @pytest.mark.parametrize("step", STEPS)
 def test_a_kill_right_after_a_step_of_a_mail(
-    shore: Shore, monkeypatch: pytest.MonkeyPatch, step: str, sort: str
+    dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch, step: str, sort: str
 ) -> None:
     """What was answered +OK has one end; once-only goes out once, whatever its answer was."""
     answer = ERROR if "notice" in step else SERVED
-    shore.ready()
-    shore.settle()
-    peer = shore.client()
-    death = Death(shore, monkeypatch, step)
-    peer.send(shore.put("a", sort, key="k", left=1500))
-    told = play(shore, death, peer, "a", answer)
-    before = shore.calls().count("a")
-    shore.ready()
-    answered: set[Peer] = set()
+    dispatcher.start_until_ready()
+    dispatcher.skip_opening_period()
+    peer = dispatcher.connect_client()
+    death = Death(dispatcher, monkeypatch, step)
+    peer.send(dispatcher.put_request("a", sort, key="k", lifetime=1500))
+    told = play(dispatcher, death, peer, "a", answer)
+    before = dispatcher.received_calls().count("a")
+    dispatcher.start_until_ready()
+    answered: set[Connection] = set()
     end = time.monotonic() + 6
-    while shore.core.store.owed or shore.core.outlet.waiting:
-        assert time.monotonic() < end, (shore.core.counters, shore.core.store.owed)
-        answer_calls(shore, answered, answer)
-        shore.step(0.002)
-    calls, notices = shore.calls().count("a"), [json.loads(line) for line in shore.platform.notices]
+    while dispatcher.core.store.owed or dispatcher.core.outlet.waiting:
+        assert time.monotonic() < end, (dispatcher.core.counters, dispatcher.core.store.owed)
+        answer_calls(dispatcher, answered, answer)
+        dispatcher.step(0.002)
+    calls, notices = (
+        dispatcher.received_calls().count("a"),
+        [json.loads(line) for line in dispatcher.platform.notices],
+    )
     assert {notice["message"] for notice in notices} <= {"a"}
     if sort == "charge":
         assert calls <= 1
@@ -135,120 +138,126 @@
     if step in ("store written", "+OK written"):  # untried then, and tried
         assert calls
     # The key is free for the next once it has rested for a call that the kill, or a time-out, has broken.
-    rested = time.monotonic() + shore.core.tariff.key_cooldown_time + 0.1
-    while shore.core.control.key_queues:
-        assert time.monotonic() < rested, shore.core.control.key_queues
-        shore.step(0.002)
-        shore.core.turn()  # as any event brings
-
-
-def test_a_notice_unanswered_at_the_kill_is_sent_again_and_clients_come_meanwhile(shore: Shore) -> None:
-    shore.ready()
-    shore.settle()
-    shore.platform.takes_notices = False
-    shore.receiver.door.close()
-    peer = shore.client()
-    peer.send(shore.put("a", left=300))
-    shore.until(lambda: peer.pull() == OK and shore.core.outlet.waiting)
-    shore.kill()
-    shore.ready()  # nobody answers notices
-    other = shore.client()
+    rested = time.monotonic() + dispatcher.core.tariff.key_cooldown_time + 0.1
+    while dispatcher.core.control.key_queues:
+        assert time.monotonic() < rested, dispatcher.core.control.key_queues
+        dispatcher.step(0.002)
+        dispatcher.core.turn()  # as any event brings
+
+
+def test_a_notice_unanswered_at_the_kill_is_sent_again_and_clients_come_meanwhile(
+    dispatcher: SocketDispatcher,
+) -> None:
+    dispatcher.start_until_ready()
+    dispatcher.skip_opening_period()
+    dispatcher.platform.accepts_notices = False
+    dispatcher.receiver.listener.close()
+    peer = dispatcher.connect_client()
+    peer.send(dispatcher.put_request("a", lifetime=300))
+    dispatcher.step_until(lambda: peer.receive() == OK and dispatcher.core.outlet.waiting)
+    dispatcher.kill()
+    dispatcher.start_until_ready()  # nobody answers notices
+    other = dispatcher.connect_client()
     other.send(b"PING\r\n")
-    shore.until(lambda: other.pull() == b"+PONG\r\n")
-    shore.platform.takes_notices = True
-    shore.until(lambda: not shore.core.store.owed)
-    assert [json.loads(line)["message"] for line in shore.platform.notices] == ["a"]
+    dispatcher.step_until(lambda: other.receive() == b"+PONG\r\n")
+    dispatcher.platform.accepts_notices = True
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert [json.loads(line)["message"] for line in dispatcher.platform.notices] == ["a"]
 
 
-def test_a_notice_whose_answer_is_cut_is_sent_again_and_ends_once(shore: Shore) -> None:
-    shore.ready()
-    shore.settle()
-    shore.platform.takes_notices = False
-    shore.receiver.door.close()
-    peer = shore.client()
-    peer.send(shore.put("a", left=300))
-    posts: list[Peer] = []
+def test_a_notice_whose_answer_is_cut_is_sent_again_and_ends_once(dispatcher: SocketDispatcher) -> None:
+    dispatcher.start_until_ready()
+    dispatcher.skip_opening_period()
+    dispatcher.platform.accepts_notices = False
+    dispatcher.receiver.listener.close()
+    peer = dispatcher.connect_client()
+    peer.send(dispatcher.put_request("a", lifetime=300))
+    posts: list[Connection] = []
 
     def posted() -> bool:
-        posts[:] = [each for each in shore.platform.peers if b"POST /v1/notices" in each.got]
+        posts[:] = [each for each in dispatcher.platform.connections if b"POST /v1/notices" in each.received]
         return bool(posts)
 
-    shore.until(posted)
+    dispatcher.step_until(posted)
     posts[0].send(b"HTTP/1.1 204 No Con")
     posts[0].reset()
-    shore.platform.takes_notices = True
-    shore.until(lambda: not shore.core.store.owed and not shore.core.outlet.waiting)
-    assert [json.loads(line)["message"] for line in shore.platform.notices] == ["a"]
-
-
-def test_a_stop_before_the_list_has_answered_opens_no_door_and_keeps_what_is_owed(shore: Shore) -> None:
-    shore.ready()
-    peer = shore.client()
-    peer.send(shore.put("a", "charge", left=9000))
-    shore.until(lambda: peer.pull() == OK)
-    shore.call("a")
-    shore.kill()
-    shore.platform.lists = False
-    shore.begin()
+    dispatcher.platform.accepts_notices = True
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed and not dispatcher.core.outlet.waiting)
+    assert [json.loads(line)["message"] for line in dispatcher.platform.notices] == ["a"]
+
+
+def test_a_stop_before_the_list_has_answered_opens_no_door_and_keeps_what_is_owed(
+    dispatcher: SocketDispatcher,
+) -> None:
+    dispatcher.start_until_ready()
+    peer = dispatcher.connect_client()
+    peer.send(dispatcher.put_request("a", "charge", lifetime=9000))
+    dispatcher.step_until(lambda: peer.receive() == OK)
+    dispatcher.wait_for_call("a")
+    dispatcher.kill()
+    dispatcher.platform.answers_list = False
+    dispatcher.start()
     over: list[bool] = []
-    shore.core.stop(lambda: over.append(True))
-    shore.until(lambda: over, most=4.0)
-    assert not shore.core.ready and list(shore.core.store.owed) == [b"a"]
-    shore.kill()
-    shore.platform.lists = True
-    shore.ready()
-    shore.until(lambda: not shore.core.store.owed)
-    assert [json.loads(line)["outcome"] for line in shore.platform.notices] == ["given_up"]
-
-
-def test_untried_mails_of_the_life_before_are_tried_at_once(shore: Shore) -> None:
-    shore.ready()
-    shore.settle()
-    shore.receiver.door.listen(0)
-    peer = shore.client()
+    dispatcher.core.stop(lambda: over.append(True))
+    dispatcher.step_until(lambda: over, timeout=4.0)
+    assert not dispatcher.core.ready and list(dispatcher.core.store.owed) == [b"a"]
+    dispatcher.kill()
+    dispatcher.platform.answers_list = True
+    dispatcher.start_until_ready()
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert [json.loads(line)["outcome"] for line in dispatcher.platform.notices] == ["given_up"]
+
+
+def test_untried_mails_of_the_life_before_are_tried_at_once(dispatcher: SocketDispatcher) -> None:
+    dispatcher.start_until_ready()
+    dispatcher.skip_opening_period()
+    dispatcher.receiver.listener.listen(0)
+    peer = dispatcher.connect_client()
     names = [f"m{number}" for number in range(20)]
     for name in names:
-        peer.got = b""
-        peer.send(shore.put(name, "charge", left=6000))
-        shore.until(lambda: peer.pull() == OK)
-    untried = [mail.name.decode() for mail in shore.core.store.owed.values() if mail.out is None]
+        peer.received = b""
+        peer.send(dispatcher.put_request(name, "charge", lifetime=6000))
+        dispatcher.step_until(lambda: peer.receive() == OK)
+    untried = [mail.name.decode() for mail in dispatcher.core.store.owed.values() if mail.out is None]
     assert len(untried) > 8
-    shore.kill()
-    began, answered = time.monotonic(), set[Peer]()
-    for link in shore.receiver.peers:
+    dispatcher.kill()
+    began, answered = time.monotonic(), set[Connection]()
+    for link in dispatcher.receiver.connections:
         link.close()
-    shore.ready()
-    while shore.core.store.owed:
-        assert time.monotonic() - began < 3.0, shore.core.counters  # half of their time
-        answer_calls(shore, answered, SERVED)
+    dispatcher.start_until_ready()
+    while dispatcher.core.store.owed:
+        assert time.monotonic() - began < 3.0, dispatcher.core.counters  # half of their time
+        answer_calls(dispatcher, answered, SERVED)
         for link in list(answered):  # further calls on kept connections
-            link.pull()
-            if link.got.count(b"\r\n\r\nhello") > 1:
-                link.got = link.got.replace(b"\r\n\r\nhello", b"", 1)
+            link.receive()
+            if link.received.count(b"\r\n\r\nhello") > 1:
+                link.received = link.received.replace(b"\r\n\r\nhello", b"", 1)
                 answered.discard(link)
-        shore.step(0.002)
-    ended = {json.loads(line)["message"] for line in shore.platform.notices}
+        dispatcher.step(0.002)
+    ended = {json.loads(line)["message"] for line in dispatcher.platform.notices}
     assert not ended & set(untried)
 
 
-def test_a_full_store_with_nobody_at_the_list_nor_for_notices_takes_clients_soon(shore: Shore) -> None:
-    shore.ready()
+def test_a_full_store_with_nobody_at_the_list_nor_for_notices_takes_clients_soon(
+    dispatcher: SocketDispatcher,
+) -> None:
+    dispatcher.start_until_ready()
     for number in range(2000):
         name = b"n%d" % number
-        took = shore.core.store.take(owed(name))
-        shore.core.store.notice(name, b'{"message":"x"}\n') if took and number % 2 else None
-    many = len(shore.core.store.owed)
+        took = dispatcher.core.store.take(owed(name))
+        dispatcher.core.store.notice(name, b'{"message":"x"}\n') if took and number % 2 else None
+    many = len(dispatcher.core.store.owed)
     assert many > 700
-    shore.kill()
-    shore.platform.lists = shore.platform.takes_notices = False
+    dispatcher.kill()
+    dispatcher.platform.answers_list = dispatcher.platform.accepts_notices = False
     began = time.monotonic()
-    shore.begin()
-    shore.until(lambda: shore.core.ready, most=10.0)
+    dispatcher.start()
+    dispatcher.step_until(lambda: dispatcher.core.ready, timeout=10.0)
     assert time.monotonic() - began < 5.0
-    assert len(shore.core.held) == many
-    peer = shore.client()
+    assert len(dispatcher.core.held) == many
+    peer = dispatcher.connect_client()
     peer.send(b"PING\r\n")
-    shore.until(lambda: peer.pull() == b"+PONG\r\n")
+    dispatcher.step_until(lambda: peer.receive() == b"+PONG\r\n")
 
 
 def owed(name: bytes, sort: str = "order", left: float = 60.0, key: str | None = None) -> StoredMessage:
@@ -368,65 +377,67 @@
 ) -> None:
     """A window of one second, of real time. A step of the wall clock between two lives moves nothing; only
     after a reboot, where no other clock goes on, does it count, and then against another try."""
-    began: list[Quay] = []
+    began: list[InMemoryDispatcher] = []
     monkeypatch.setattr("time.monotonic", lambda: began[0].reactor.seconds() if began else 100.0)
-    quay = Quay(tmp_path, monkeypatch)
-    began.append(quay)
-    quay.put(quay.client(), "m1", "stamp")
-    assert quay.pipe("1")
-    store = quay.dispatcher.store
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    began.append(dispatcher)
+    dispatcher.put(dispatcher.connect_client(), "m1", "stamp")
+    assert dispatcher.waiting_connection("1")
+    store = dispatcher.core.store
     assert isinstance(store, Spool)
     store.close()  # killed
-    timers: Any = quay.reactor.getDelayedCalls()
+    timers: Any = dispatcher.reactor.getDelayedCalls()
     for timer in list(timers):
         timer.cancel()
-    quay.now += age
-    quay.reactor.advance(age)
-    monkeypatch.setattr("time.time", lambda: 1e9 + quay.reactor.seconds() + step)
+    dispatcher.now += age
+    dispatcher.reactor.advance(age)
+    monkeypatch.setattr("time.time", lambda: 1e9 + dispatcher.reactor.seconds() + step)
     if reboot:
         monkeypatch.setattr("laureldock.clocks._boot_id", lambda: "another")
-    quay.lines.clear()
-    quay.start()
-    quay.after(0.1)
-    found = [line for line in quay.lines if "POST /hook" in line]
+    dispatcher.lines.clear()
+    dispatcher.start()
+    dispatcher.advance(0.1)
+    found = [line for line in dispatcher.lines if "POST /hook" in line]
     assert len(found) == calls
-    ended = [line for line in quay.lines if "POST /v1/notices" in line]
+    ended = [line for line in dispatcher.lines if "POST /v1/notices" in line]
     assert len(ended) == 1 - calls  # else its client hears of it, once
 
 
 @pytest.mark.parametrize("down", ["nothing", "discovery", "all routes at first"])
-def test_untried_mails_with_half_of_their_time_left_are_tried(shore: Shore, down: str) -> None:
+def test_untried_mails_with_half_of_their_time_left_are_tried(
+    dispatcher: SocketDispatcher, down: str
+) -> None:
     """Under half of them may be given up with no call; many are found at once, and slots are few."""
-    shore.ready()
-    shore.settle()
+    dispatcher.start_until_ready()
+    dispatcher.skip_opening_period()
     names = [f"m{number}" for number in range(60)]
     for name in names:
-        assert shore.core.store.take(owed(name.encode(), "news", 6.0, ""))
-    shore.kill()
-    port = int(shore.receiver.address.rpartition(":")[2])
+        assert dispatcher.core.store.take(owed(name.encode(), "news", 6.0, ""))
+    dispatcher.kill()
+    port = int(dispatcher.receiver.address.rpartition(":")[2])
     if down == "discovery":
-        shore.platform.lists = False
+        dispatcher.platform.answers_list = False
     if down == "all routes at first":
-        shore.receiver.door.close()
-    began, seen = time.monotonic(), dict[Peer, int]()
-    shore.ready()
-    while shore.core.store.owed:
+        dispatcher.receiver.listener.close()
+    began, seen = time.monotonic(), dict[Connection, int]()
+    dispatcher.start_until_ready()
+    while dispatcher.core.store.owed:
         assert time.monotonic() - began < 7.0
         if (
             down == "all routes at first"
             and time.monotonic() - began > 1.0
-            and shore.receiver.door.fileno() < 0
+            and dispatcher.receiver.listener.fileno() < 0
         ):
-            shore.receiver.door = socket.create_server(("127.0.0.1", port))
-            shore.receiver.door.setblocking(False)
-        for link in shore.receiver.peers:
-            whole = link.pull().count(b"\r\n\r\nhello") if link.link.fileno() >= 0 else 0
+            dispatcher.receiver.listener = socket.create_server(("127.0.0.1", port))
+            dispatcher.receiver.listener.setblocking(False)
+        for link in dispatcher.receiver.connections:
+            whole = link.receive().count(b"\r\n\r\nhello") if link.socket.fileno() >= 0 else 0
             for _ in range(whole - seen.get(link, 0)):
                 link.send(SERVED)
             seen[link] = whole
-        shore.step(0.002)
-    tried = set(shore.calls())
-    assert len(tried) > len(names) // 2, (len(tried), shore.core.counters)
+        dispatcher.step(0.002)
+    tried = set(dispatcher.received_calls())
+    assert len(tried) > len(names) // 2, (len(tried), dispatcher.core.counters)
 
 
 def test_nine_in_ten_of_thirty_processes_restarted_at_once_with_full_stores_take_clients_in_time(
@@ -465,22 +476,24 @@
                 child.wait(10)
 
 
-def test_a_notice_unanswered_at_a_planned_stop_is_kept_for_the_next_life(shore: Shore) -> None:
-    shore.ready()
-    shore.settle()
-    shore.platform.takes_notices = False
-    shore.receiver.door.close()
-    peer = shore.client()
-    peer.send(shore.put("a", "order", key="k", left=300))
-    shore.until(lambda: peer.pull() == OK and shore.core.outlet.waiting)
+def test_a_notice_unanswered_at_a_planned_stop_is_kept_for_the_next_life(
+    dispatcher: SocketDispatcher,
+) -> None:
+    dispatcher.start_until_ready()
+    dispatcher.skip_opening_period()
+    dispatcher.platform.accepts_notices = False
+    dispatcher.receiver.listener.close()
+    peer = dispatcher.connect_client()
+    peer.send(dispatcher.put_request("a", "order", key="k", lifetime=300))
+    dispatcher.step_until(lambda: peer.receive() == OK and dispatcher.core.outlet.waiting)
     over: list[float] = []
     began = time.monotonic()
-    shore.core.stop(lambda: over.append(time.monotonic() - began))
-    shore.until(lambda: over, most=4.0)
-    assert over[0] < 3.7 and list(shore.core.store.owed) == [b"a"]
-    shore.kill()
-    shore.platform.takes_notices = True
-    shore.ready()
-    shore.until(lambda: not shore.core.store.owed)
-    assert [json.loads(line)["message"] for line in shore.platform.notices] == ["a"]
-    assert not shore.core.control.key_queues
+    dispatcher.core.stop(lambda: over.append(time.monotonic() - began))
+    dispatcher.step_until(lambda: over, timeout=4.0)
+    assert over[0] < 3.7 and list(dispatcher.core.store.owed) == [b"a"]
+    dispatcher.kill()
+    dispatcher.platform.accepts_notices = True
+    dispatcher.start_until_ready()
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert [json.loads(line)["message"] for line in dispatcher.platform.notices] == ["a"]
+    assert not dispatcher.core.control.key_queues
--- a/tests/test_crossing_room.py
+++ b/tests/test_crossing_room.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from shore import Peer, Shore
+from socket_dispatcher import Connection, SocketDispatcher
 from test_crossing_exit import launched
 from test_process import Platform, Process
 from test_process import platform as platform  # a fixture
@@ -26,83 +26,85 @@
 
 
 @pytest.fixture
-def shore(tmp_path: Path) -> Iterator[Shore]:
-    here = Shore(tmp_path)
-    yield here.ready()
-    here.end()
+def dispatcher(tmp_path: Path) -> Iterator[SocketDispatcher]:
+    dispatcher = SocketDispatcher(tmp_path)
+    yield dispatcher.start_until_ready()
+    dispatcher.close()
 
 
-def connected(shore: Shore) -> Peer:
-    host, _, port = shore.listen.rpartition(":")
-    peer = Peer(socket.create_connection((host, int(port))))
+def connected(dispatcher: SocketDispatcher) -> Connection:
+    host, _, port = dispatcher.listen_address.rpartition(":")
+    peer = Connection(socket.create_connection((host, int(port))))
     peer.send(b"PING\r\n")
     return peer
 
 
-def test_idle_clients_fill_the_room_while_discovery_is_down(shore: Shore) -> None:
+def test_idle_clients_fill_the_room_while_discovery_is_down(dispatcher: SocketDispatcher) -> None:
     """What the list needs is kept from them: once it is back it is known in time, and mails flow."""
-    shore.until(lambda: shore.platform.watches)
-    shore.platform.silence().reset()
-    peers = [connected(shore) for _ in range(80)]
-    shore.until(lambda: all(peer.pull() == PONG for peer in peers))  # none is turned away
-    assert len(shore.front.clients) < 32 + 4  # half of 64 sockets, and one look
-    assert peers[0].ended == "closed" and not peers[-1].ended  # the longest idle went first
-    shore.announce("Ready", seq=5)
-    shore.platform.hosts["hosts"].append(
-        {**shore.platform.hosts["hosts"][0], "host": "r9", "health": "Terminating"}
+    dispatcher.step_until(lambda: dispatcher.platform.watches)
+    dispatcher.platform.stop_answering_list().reset()
+    peers = [connected(dispatcher) for _ in range(80)]
+    dispatcher.step_until(lambda: all(peer.receive() == PONG for peer in peers))  # none is turned away
+    assert len(dispatcher.front.clients) < 32 + 4  # half of 64 sockets, and one look
+    assert peers[0].ended_by == "closed" and not peers[-1].ended_by  # the longest idle went first
+    dispatcher.set_endpoint_list("Ready", seq=5)
+    dispatcher.platform.endpoint_list["hosts"].append(
+        {**dispatcher.platform.endpoint_list["hosts"][0], "host": "r9", "health": "Terminating"}
     )
-    shore.platform.lists, back = True, time.monotonic()
-    shore.until(lambda: "r9" in shore.core.book.routes)
+    dispatcher.platform.answers_list, back = True, time.monotonic()
+    dispatcher.step_until(lambda: "r9" in dispatcher.core.book.routes)
     assert time.monotonic() - back < 1.0
-    assert shore.core.book.routes["r9"].listed_state is ListedState.DRAINING
-    peer = connected(shore)
-    shore.until(lambda: peer.pull() == PONG)
-    peer.got = b""
-    peer.send(shore.put("a", "charge"))
-    shore.until(lambda: peer.pull() == OK)
-    shore.serve("a")
-    shore.until(lambda: not shore.core.store.owed)
-    assert not shore.core.counters["faults"]
-
-
-def test_who_asks_behind_idle_clients_is_answered_and_none_of_them_is_reset(shore: Shore) -> None:
-    peers = [connected(shore) for _ in range(30)]
-    shore.until(lambda: sum(peer.pull() == PONG for peer in peers) == 30)
+    assert dispatcher.core.book.routes["r9"].listed_state is ListedState.DRAINING
+    peer = connected(dispatcher)
+    dispatcher.step_until(lambda: peer.receive() == PONG)
+    peer.received = b""
+    peer.send(dispatcher.put_request("a", "charge"))
+    dispatcher.step_until(lambda: peer.receive() == OK)
+    dispatcher.respond("a")
+    dispatcher.step_until(lambda: not dispatcher.core.store.owed)
+    assert not dispatcher.core.counters["faults"]
+
+
+def test_who_asks_behind_idle_clients_is_answered_and_none_of_them_is_reset(
+    dispatcher: SocketDispatcher,
+) -> None:
+    peers = [connected(dispatcher) for _ in range(30)]
+    dispatcher.step_until(lambda: sum(peer.receive() == PONG for peer in peers) == 30)
     for number, peer in enumerate(peers):
-        if not peer.ended:
-            peer.got = b""
-            peer.send(shore.put(f"m{number}", "news"))
-    more = [connected(shore) for _ in range(30)]
-    shore.until(lambda: all(peer.pull() or peer.ended for peer in more))
-    shore.until(lambda: all(peer.pull() == OK or peer.ended for peer in peers))
-    ends = {peer.ended for peer in peers + more}
+        if not peer.ended_by:
+            peer.received = b""
+            peer.send(dispatcher.put_request(f"m{number}", "news"))
+    more = [connected(dispatcher) for _ in range(30)]
+    dispatcher.step_until(lambda: all(peer.receive() or peer.ended_by for peer in more))
+    dispatcher.step_until(lambda: all(peer.receive() == OK or peer.ended_by for peer in peers))
+    ends = {peer.ended_by for peer in peers + more}
     assert ends <= {"", "closed"}  # a reset takes an answer along
-    asked = [peer for peer in peers if peer.got == OK]
-    assert len(asked) >= 10 and shore.core.counters["taken"] == len(asked)
+    asked = [peer for peer in peers if peer.received == OK]
+    assert len(asked) >= 10 and dispatcher.core.counters["taken"] == len(asked)
 
 
-def test_clients_that_send_much_at_once_and_go_leave_nothing_behind(shore: Shore) -> None:
+def test_clients_that_send_much_at_once_and_go_leave_nothing_behind(dispatcher: SocketDispatcher) -> None:
     """A flood of whole requests, of half ones and of noise; their mails are withdrawn, others are served."""
     floods = [
-        shore.put("f%d", body="x" * 4000) * 30,
-        shore.put("h", body="y" * 60_000)[:-9],
+        dispatcher.put_request("f%d", body="x" * 4000) * 30,
+        dispatcher.put_request("h", body="y" * 60_000)[:-9],
         b"\xff" * 300_000,
     ]
-    good = shore.client()
+    good = dispatcher.connect_client()
     for number in range(30):
-        peer = connected(shore)
-        peer.link.setblocking(False)
+        peer = connected(dispatcher)
+        peer.socket.setblocking(False)
         with contextlib.suppress(OSError):
-            peer.link.send(floods[number % 3].replace(b"f%d", b"f%02d" % number))
+            peer.socket.send(floods[number % 3].replace(b"f%d", b"f%02d" % number))
         (peer.reset if number % 2 else peer.close)()
-        shore.step()
-    good.send(shore.put("a", "charge"))
-    shore.until(lambda: good.pull() == OK)
-    shore.spend(0.5)
-    held = sum(len(client._buffer) for client in shore.front.clients)
-    assert held < 200_000 and len(shore.front.clients) <= 2
-    shore.serve("a")
-    assert not shore.core.counters["faults"]
+        dispatcher.step()
+    good.send(dispatcher.put_request("a", "charge"))
+    dispatcher.step_until(lambda: good.receive() == OK)
+    dispatcher.step_for(0.5)
+    held = sum(len(client._buffer) for client in dispatcher.front.clients)
+    assert held < 200_000 and len(dispatcher.front.clients) <= 2
+    dispatcher.respond("a")
+    assert not dispatcher.core.counters["faults"]
 
 
 def cpu(pid: int) -> float:
@@ -121,14 +123,16 @@
         while process.ask(b"PING\r\n") != PONG:
             assert child.poll() is None and time.monotonic() < end
             time.sleep(0.02)
-        peers = [Peer(process.open()) for _ in range(90)]
+        peers = [Connection(process.open()) for _ in range(90)]
         for number, peer in enumerate(peers):  # each has a request open in the moment in which it is accepted
-            peer.send(Shore.put(f"m{number}", left=20_000))
+            peer.send(SocketDispatcher.put_request(f"m{number}", lifetime=20_000))
         before, began = cpu(child.pid), time.monotonic()
-        while time.monotonic() - began < 6 and not all(peer.pull() == OK for peer in peers):
+        while time.monotonic() - began < 6 and not all(peer.receive() == OK for peer in peers):
             time.sleep(0.02)
         spent = (cpu(child.pid) - before) / (time.monotonic() - began)
-        assert all(peer.pull() == OK for peer in peers), [(p.got, p.ended) for p in peers if p.got != OK][:9]
+        assert all(peer.receive() == OK for peer in peers), [
+            (p.received, p.ended_by) for p in peers if p.received != OK
+        ][:9]
         assert spent < 0.6  # of a core, which a loop without rest would take whole
         rest = cpu(child.pid)
         time.sleep(1.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from dock import Quay
+from drivers import InMemoryDispatcher
 
 from laureldock.core.messages import StoredMessage
 from laureldock.stores.spool import Spool
@@ -75,20 +75,20 @@
     tmp_path: Path, monkeypatch: Any
 ) -> None:
     """A new process beside the old one sent what the old one had been told to hold."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.handed_down = True
-    beside = Spool(quay.state, 1e6)
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.core.handed_down = True
+    beside = Spool(dispatcher.folder, 1e6)
     beside.open()
-    store: Any = quay.dispatcher.store
+    store: Any = dispatcher.core.store
     store.held.append(beside.path)  # as if it had been there at the start
-    quay.dispatcher.recovery.watch_processes()
-    beside.wait("r1", quay.dispatcher.now() + 0.5, now=0.0)
-    quay.after(0.1)
-    quay.put(quay.client(), "m")
-    quay.after(0.2)
-    assert not [line for line in quay.lines if "POST" in line], quay.lines
-    quay.after(0.4)
-    assert [line for line in quay.lines if "POST" in line], quay.lines
+    dispatcher.core.recovery.watch_processes()
+    beside.wait("r1", dispatcher.core.now() + 0.5, now=0.0)
+    dispatcher.advance(0.1)
+    dispatcher.put(dispatcher.connect_client(), "m")
+    dispatcher.advance(0.2)
+    assert not [line for line in dispatcher.lines if "POST" in line], dispatcher.lines
+    dispatcher.advance(0.4)
+    assert [line for line in dispatcher.lines if "POST" in line], dispatcher.lines
 
 
 def test_what_an_ended_process_owes_is_adopted_once_though_reads_and_writes_fail(
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from dock import Quay
+from drivers import InMemoryDispatcher
 
 from laureldock.core.invariants import Invariant
 from laureldock.core.peer_view import PeerView
@@ -16,78 +16,78 @@
 from laureldock.fronts.resp import CloseReason
 
 
-def allow_all(quay: Quay) -> None:
+def allow_all(dispatcher: InMemoryDispatcher) -> None:
     """Break the check before a send: it allows every attempt."""
-    quay.dispatcher.control.may_start = lambda *_: True  # type: ignore[method-assign]
+    dispatcher.core.control.may_start = lambda *_: True  # type: ignore[method-assign]
 
 
-def no_guard(quay: Quay) -> None:
-    quay.dispatcher.may_begin = lambda *_: True  # type: ignore[method-assign]
+def no_guard(dispatcher: InMemoryDispatcher) -> None:
+    dispatcher.core.may_begin = lambda *_: True  # type: ignore[method-assign]
 
 
-def held_up(quay: Quay, *names: str) -> None:
+def held_up(dispatcher: InMemoryDispatcher, *names: str) -> None:
     """Messages whose connections have not come up yet."""
-    quay.late = {"1"}
+    dispatcher.not_connecting = {"1"}
     for name in names:
-        quay.put(quay.client(), name)
+        dispatcher.put(dispatcher.connect_client(), name)
 
 
-def let_go(quay: Quay) -> None:
-    quay.late = set()
-    quay.flow()
+def let_go(dispatcher: InMemoryDispatcher) -> None:
+    dispatcher.not_connecting = set()
+    dispatcher.process_events()
 
 
-def sent_when_over(quay: Quay) -> None:
-    held_up(quay, "m1")
-    no_guard(quay)
-    client = quay.dispatcher.by_name[b"m1"]
-    quay.dispatcher.submissions.withdraw(client)
-    let_go(quay)
+def sent_when_over(dispatcher: InMemoryDispatcher) -> None:
+    held_up(dispatcher, "m1")
+    no_guard(dispatcher)
+    client = dispatcher.core.by_name[b"m1"]
+    dispatcher.core.submissions.withdraw(client)
+    let_go(dispatcher)
 
 
-def sent_without_record(quay: Quay) -> None:
-    held_up(quay, "m1")
-    no_guard(quay)
-    let_go(quay)
+def sent_without_record(dispatcher: InMemoryDispatcher) -> None:
+    held_up(dispatcher, "m1")
+    no_guard(dispatcher)
+    let_go(dispatcher)
 
 
-def sent_late(quay: Quay) -> None:
-    quay.late = {"1"}
-    quay.put(quay.client(), "m1", left=300)
-    allow_all(quay)
-    message = quay.dispatcher.by_name[b"m1"]
-    errand = next(iter(quay.assembly.receivers.errands.values()))
+def sent_late(dispatcher: InMemoryDispatcher) -> None:
+    dispatcher.not_connecting = {"1"}
+    dispatcher.put(dispatcher.connect_client(), "m1", lifetime=300)
+    allow_all(dispatcher)
+    message = dispatcher.core.by_name[b"m1"]
+    errand = next(iter(dispatcher.assembly.receivers.errands.values()))
     message.end -= 0.4
     assert errand
-    let_go(quay)
+    let_go(dispatcher)
 
 
-def sent_to_drained(quay: Quay) -> None:
-    held_up(quay, "m1")
-    allow_all(quay)
-    quay.news("1", "Terminating", 2)
-    quay.after(0.1)
-    let_go(quay)
+def sent_to_drained(dispatcher: InMemoryDispatcher) -> None:
+    held_up(dispatcher, "m1")
+    allow_all(dispatcher)
+    dispatcher.update_list("1", "Terminating", 2)
+    dispatcher.advance(0.1)
+    let_go(dispatcher)
 
 
-def widen(quay: Quay) -> None:
+def widen(dispatcher: InMemoryDispatcher) -> None:
     """A served call lets two be out at once."""
-    quay.put(quay.client(), "m0")
-    quay.answer("1", "200 OK")
+    dispatcher.put(dispatcher.connect_client(), "m0")
+    dispatcher.respond("1", "200 OK")
 
 
-def sent_during_wait(quay: Quay) -> None:
-    widen(quay)
-    quay.put(quay.client(), "m1")
-    held_up(quay, "m2")
-    allow_all(quay)
-    quay.answer("1", "429 Too Many", "X-RateLimit-Wait-Ms: 900")
-    let_go(quay)
+def sent_during_wait(dispatcher: InMemoryDispatcher) -> None:
+    widen(dispatcher)
+    dispatcher.put(dispatcher.connect_client(), "m1")
+    held_up(dispatcher, "m2")
+    allow_all(dispatcher)
+    dispatcher.respond("1", "429 Too Many", "X-RateLimit-Wait-Ms: 900")
+    let_go(dispatcher)
 
 
-def no_turns(quay: Quay) -> None:
+def no_turns(dispatcher: InMemoryDispatcher) -> None:
     """Break the order of keys: every message of a key is queued at once, and always has its turn."""
-    policy = quay.dispatcher.control
+    policy = dispatcher.core.control
 
     def queue_all(now: float, key_queue: KeyQueue) -> None:
         for message in key_queue.messages:
@@ -98,89 +98,89 @@
     policy.has_turn = lambda *_: True  # type: ignore[method-assign]
 
 
-def sent_out_of_order(quay: Quay) -> None:
-    widen(quay)
-    no_turns(quay)
+def sent_out_of_order(dispatcher: InMemoryDispatcher) -> None:
+    widen(dispatcher)
+    no_turns(dispatcher)
     for name in ("m1", "m2"):
-        quay.put(quay.client(), name, "order", "key")
+        dispatcher.put(dispatcher.connect_client(), name, "order", "key")
 
 
-def sent_out_of_order_of_another_process(quay: Quay) -> None:
-    no_turns(quay)
-    quay.dispatcher.peers.view = PeerView(processes=1, keys={"key": {b"m0": 1.0}})
-    quay.put(quay.client(), "m1", "order", "key")
+def sent_out_of_order_of_another_process(dispatcher: InMemoryDispatcher) -> None:
+    no_turns(dispatcher)
+    dispatcher.core.peers.view = PeerView(processes=1, keys={"key": {b"m0": 1.0}})
+    dispatcher.put(dispatcher.connect_client(), "m1", "order", "key")
 
 
-def sent_during_rest(quay: Quay) -> None:
-    no_turns(quay)
-    quay.put(quay.client(), "m1", "order", "key")
-    quay.cut("1")
-    quay.after(0.1)
-    quay.answer("1", "200 OK")
-    quay.put(quay.client(), "m2", "order", "key")
+def sent_during_rest(dispatcher: InMemoryDispatcher) -> None:
+    no_turns(dispatcher)
+    dispatcher.put(dispatcher.connect_client(), "m1", "order", "key")
+    dispatcher.break_connection("1")
+    dispatcher.advance(0.1)
+    dispatcher.respond("1", "200 OK")
+    dispatcher.put(dispatcher.connect_client(), "m2", "order", "key")
 
 
-def sent_over_slots(quay: Quay) -> None:
-    quay.dispatcher.peers.view = PeerView(processes=1, calls_out=8)
-    quay.put(quay.client(), "m1")
+def sent_over_slots(dispatcher: InMemoryDispatcher) -> None:
+    dispatcher.core.peers.view = PeerView(processes=1, calls_out=8)
+    dispatcher.put(dispatcher.connect_client(), "m1")
 
 
-def sent_over_window(quay: Quay) -> None:
-    route = quay.dispatcher.book.routes["r1"]
+def sent_over_window(dispatcher: InMemoryDispatcher) -> None:
+    route = dispatcher.core.book.routes["r1"]
     route.window = 4
-    quay.dispatcher.peers.view = PeerView(processes=1, calls_out=4, calls_to={"r1": 4})
-    quay.put(quay.client(), "m1")
+    dispatcher.core.peers.view = PeerView(processes=1, calls_out=4, calls_to={"r1": 4})
+    dispatcher.put(dispatcher.connect_client(), "m1")
 
 
-def sent_beside(quay: Quay) -> None:
-    quay.put(quay.client(), "m1")
-    attempt = next(iter(quay.assembly.receivers.errands))
-    message = quay.dispatcher.by_name[b"m1"]
-    quay.dispatcher.sending(attempt, message)
+def sent_beside(dispatcher: InMemoryDispatcher) -> None:
+    dispatcher.put(dispatcher.connect_client(), "m1")
+    attempt = next(iter(dispatcher.assembly.receivers.errands))
+    message = dispatcher.core.by_name[b"m1"]
+    dispatcher.core.sending(attempt, message)
 
 
-def repeated(quay: Quay) -> None:
-    quay.put(quay.client(), "m1", "charge")
-    quay.dispatcher.control.may_attempt = lambda *_: True  # type: ignore[method-assign]
-    quay.answer("1", "500 Internal Server Error")
-    quay.after(3.0)
+def repeated(dispatcher: InMemoryDispatcher) -> None:
+    dispatcher.put(dispatcher.connect_client(), "m1", "charge")
+    dispatcher.core.control.may_attempt = lambda *_: True  # type: ignore[method-assign]
+    dispatcher.respond("1", "500 Internal Server Error")
+    dispatcher.advance(3.0)
 
 
-def repeated_late(quay: Quay) -> None:
-    quay.put(quay.client(), "m1", "stamp")
-    stored = quay.dispatcher.store.owed[b"m1"]
+def repeated_late(dispatcher: InMemoryDispatcher) -> None:
+    dispatcher.put(dispatcher.connect_client(), "m1", "stamp")
+    stored = dispatcher.core.store.owed[b"m1"]
     assert stored.out is not None
     stored.out -= 5.0  # longer ago than the decisions believe
-    quay.answer("1", "500 Internal Server Error")
-    quay.after(0.1)
+    dispatcher.respond("1", "500 Internal Server Error")
+    dispatcher.advance(0.1)
 
 
-def refused_owed(quay: Quay) -> None:
-    store: Any = quay.dispatcher.store
+def refused_owed(dispatcher: InMemoryDispatcher) -> None:
+    store: Any = dispatcher.core.store
     store.refuse = store.over = lambda *_: None
-    held_up(quay, *(f"m{number}" for number in range(45)))
+    held_up(dispatcher, *(f"m{number}" for number in range(45)))
 
 
-def notice_unrecorded(quay: Quay) -> None:
-    store: Any = quay.dispatcher.store
+def notice_unrecorded(dispatcher: InMemoryDispatcher) -> None:
+    store: Any = dispatcher.core.store
     store.notice = lambda *_: None
-    quay.put(quay.client(), "m1", "charge")
-    quay.answer("1", "500 Internal Server Error")
+    dispatcher.put(dispatcher.connect_client(), "m1", "charge")
+    dispatcher.respond("1", "500 Internal Server Error")
 
 
-def closed_unanswered(quay: Quay) -> None:
-    client = quay.client()
-    quay.put(client, "m1")
-    client.protocol.pending = quay.dispatcher.by_name[b"m1"]
+def closed_unanswered(dispatcher: InMemoryDispatcher) -> None:
+    client = dispatcher.connect_client()
+    dispatcher.put(client, "m1")
+    client.protocol.pending = dispatcher.core.by_name[b"m1"]
     client.protocol.half_close(CloseReason.LEAVING)
 
 
-def opened_early(quay: Quay) -> None:
-    quay.dispatcher.recovered = False
-    quay.dispatcher.start_listening()
+def opened_early(dispatcher: InMemoryDispatcher) -> None:
+    dispatcher.core.recovered = False
+    dispatcher.core.start_listening()
 
 
-BREAKS: dict[Invariant, Callable[[Quay], None]] = {
+BREAKS: dict[Invariant, Callable[[InMemoryDispatcher], None]] = {
     Invariant.SENT_UNOWED: sent_when_over,
     Invariant.SENT_UNRECORDED: sent_without_record,
     Invariant.SENT_LATE: sent_late,
@@ -204,34 +204,34 @@
 def test_a_broken_guard_is_counted(
     invariant: Invariant, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    quay = Quay(tmp_path, monkeypatch)
-    assert not quay.dispatcher.invariants.violations
-    BREAKS[invariant](quay)
-    assert quay.dispatcher.invariants.violations[invariant], quay.dispatcher.invariants.violations
-    assert quay.dispatcher.figures()["invariant violations"]
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    assert not dispatcher.core.invariants.violations
+    BREAKS[invariant](dispatcher)
+    assert dispatcher.core.invariants.violations[invariant], dispatcher.core.invariants.violations
+    assert dispatcher.core.figures()["invariant violations"]
 
 
 def test_an_earlier_message_of_another_process_is_seen(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    quay = Quay(tmp_path, monkeypatch)
-    sent_out_of_order_of_another_process(quay)
-    assert quay.dispatcher.invariants.violations[Invariant.SENT_OUT_OF_ORDER]
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    sent_out_of_order_of_another_process(dispatcher)
+    assert dispatcher.core.invariants.violations[Invariant.SENT_OUT_OF_ORDER]
 
 
 def test_a_day_without_broken_guards_counts_none(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Waits, drains, errors, keys and a full room, with every guard in its place."""
-    quay = Quay(tmp_path, monkeypatch, routes="12")
-    quay.put(quay.client(), "m1", "charge")
-    quay.put(quay.client(), "m2", "order", "key")
-    quay.put(quay.client(), "m3", "order", "key")
-    quay.answer("12", "429 Too Many", "X-RateLimit-Wait-Ms: 300")
-    quay.after(0.5)
-    quay.news("1", "Terminating", 2)
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch, routes="12")
+    dispatcher.put(dispatcher.connect_client(), "m1", "charge")
+    dispatcher.put(dispatcher.connect_client(), "m2", "order", "key")
+    dispatcher.put(dispatcher.connect_client(), "m3", "order", "key")
+    dispatcher.respond("12", "429 Too Many", "X-RateLimit-Wait-Ms: 300")
+    dispatcher.advance(0.5)
+    dispatcher.update_list("1", "Terminating", 2)
     for _ in range(100):
-        quay.after(0.1)
-        for pipe in list(quay.pipes):
-            if pipe.name in "12" and pipe.asked:
-                quay.answer(pipe.name, "200 OK")
-    assert quay.dispatcher.counters["relayed"] == 3
-    assert not quay.dispatcher.invariants.violations
+        dispatcher.advance(0.1)
+        for connection in list(dispatcher.connections):
+            if connection.name in "12" and connection.awaits_response:
+                dispatcher.respond(connection.name, "200 OK")
+    assert dispatcher.core.counters["relayed"] == 3
+    assert not dispatcher.core.invariants.violations
--- a/tests/test_peer_spools.py
+++ b/tests/test_peer_spools.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from dock import Quay
+from drivers import InMemoryDispatcher
 
 from laureldock.core.messages import StoredMessage
 from laureldock.core.peer_view import RouteRecord
@@ -146,17 +146,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It once counted as owing nothing. -BUSY does no harm; nothing is sent either."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.handed_down = True
-    beside = spool(quay.state)
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.core.handed_down = True
+    beside = spool(dispatcher.folder)
     with monkeypatch.context() as failing:
         failing.setattr(PeerSpool, "read", refuse)
-        quay.put(quay.client(), "m1", "order", "key")
-        assert quay.lines[-1].endswith("-BUSY"), quay.lines
-        assert quay.dispatcher.counters["refused: other processes cannot be read"] == 1
-    quay.after(0.2)
-    quay.put(quay.client(), "m2", "order", "key")
-    assert any("X-Call-Id: m2" in line for line in quay.lines), quay.lines
+        dispatcher.put(dispatcher.connect_client(), "m1", "order", "key")
+        assert dispatcher.lines[-1].endswith("-BUSY"), dispatcher.lines
+        assert dispatcher.core.counters["refused: other processes cannot be read"] == 1
+    dispatcher.advance(0.2)
+    dispatcher.put(dispatcher.connect_client(), "m2", "order", "key")
+    assert any("X-Call-Id: m2" in line for line in dispatcher.lines), dispatcher.lines
     beside.close()
 
 
@@ -164,38 +164,45 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A client whose connection broke sends its request once more, and may come to the other process."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.handed_down = True
-    beside = spool(quay.state)
-    end = quay.dispatcher.now() + 5
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.core.handed_down = True
+    beside = spool(dispatcher.folder)
+    end = dispatcher.core.now() + 5
     assert beside.take(StoredMessage(b"m1", None, "charge", "", b"", 7, end, b"body"))
-    quay.put(quay.client(), "m1", "charge")
-    assert "client" not in quay.lines[-1], quay.lines  # it has given up before it would hear that it failed
-    quay.after(0.7)
-    assert quay.lines[-1].endswith("-ERR"), quay.lines
+    dispatcher.put(dispatcher.connect_client(), "m1", "charge")
+    assert "client" not in dispatcher.lines[-1], (
+        dispatcher.lines
+    )  # it has given up before it would hear that it failed
+    dispatcher.advance(0.7)
+    assert dispatcher.lines[-1].endswith("-ERR"), dispatcher.lines
     beside.close()  # its process ends: the message is this one's now, and so is the client's
-    quay.put(quay.client(), "m1", "charge")
-    assert any(line.endswith("-> client: +OK") for line in quay.lines), quay.lines
-    quay.after(0.2)
-    assert sum("X-Call-Id: m1" in line for line in quay.lines) == 1
+    dispatcher.put(dispatcher.connect_client(), "m1", "charge")
+    assert any(line.endswith("-> client: +OK") for line in dispatcher.lines), dispatcher.lines
+    dispatcher.advance(0.2)
+    assert sum("X-Call-Id: m1" in line for line in dispatcher.lines) == 1
 
 
 def test_sockets_and_disk_are_shared_for_as_long_as_another_process_lives(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The next process once kept to half of them for its life; the last one to all until its stop."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.handed_down = True
-    store: Any = quay.dispatcher.store
-    alone = quay.assembly.room.most, quay.front.most, quay.front.most_idle, store.max_owed
-    beside = spool(quay.state)
-    assert quay.dispatcher.peers.read()
-    shared = quay.assembly.room.most, quay.front.most, quay.front.most_idle, store.max_owed
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.core.handed_down = True
+    store: Any = dispatcher.core.store
+    alone = dispatcher.assembly.room.most, dispatcher.front.most, dispatcher.front.most_idle, store.max_owed
+    beside = spool(dispatcher.folder)
+    assert dispatcher.core.peers.read()
+    shared = dispatcher.assembly.room.most, dispatcher.front.most, dispatcher.front.most_idle, store.max_owed
     assert all(each <= before / 2 for each, before in zip(shared, alone, strict=True))
     beside.close()
-    quay.dispatcher.recovery.adopt()
-    assert quay.dispatcher.peers.read()
-    assert alone == (quay.assembly.room.most, quay.front.most, quay.front.most_idle, store.max_owed)
+    dispatcher.core.recovery.adopt()
+    assert dispatcher.core.peers.read()
+    assert alone == (
+        dispatcher.assembly.room.most,
+        dispatcher.front.most,
+        dispatcher.front.most_idle,
+        store.max_owed,
+    )
 
 
 def test_a_lock_on_a_file_that_was_replaced_is_none_on_its_path(
@@ -237,21 +244,21 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What was taken over stands behind in the file, and was accepted before."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.store.close()  # type: ignore[attr-defined]
-    now = quay.dispatcher.now()
-    store = spool(quay.state)
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.core.store.close()  # type: ignore[attr-defined]
+    now = dispatcher.core.now()
+    store = spool(dispatcher.folder)
     for name, accepted in (("second", now - 1.0), ("first", now - 2.0), ("third", now - 0.5)):
         stored = StoredMessage(name.encode(), "key", "order", "x", b"", 7, now + 9, b"hello")
         stored.accepted = accepted
         assert store.take(stored)
     store.close()
-    quay.start()
+    dispatcher.start()
     for name in ("first", "second", "third"):
-        calls = [line for line in quay.lines if "POST /hook" in line]
+        calls = [line for line in dispatcher.lines if "POST /hook" in line]
         assert f"X-Call-Id: {name} " in calls[-1], calls
-        quay.answer("1", "200 OK")
-    assert sum("POST /hook" in line for line in quay.lines) == 3
+        dispatcher.respond("1", "200 OK")
+    assert sum("POST /hook" in line for line in dispatcher.lines) == 3
 
 
 def test_a_file_of_an_older_release_counts_from_when_it_is_read(tmp_path: Path) -> None:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from dock import SETTINGS, Quay
+from drivers import PLATFORM_SETTINGS, InMemoryDispatcher
 
 
 class Platform(BaseHTTPRequestHandler):
@@ -78,11 +78,16 @@
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
         address = f"127.0.0.1:{platform.server_port}"
-        hosts = {**Quay.hosts("1"), "hosts": [{**Quay.hosts("1")["hosts"][0], "dial": address}]}
+        hosts = {
+            **InMemoryDispatcher.endpoint_list("1"),
+            "hosts": [{**InMemoryDispatcher.endpoint_list("1")["hosts"][0], "dial": address}],
+        }
         told = {"name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": address, "seed": "7"}
         limits = {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 1}
         config = folder / "config.json"
-        config.write_text(json.dumps({**told, "limits": limits, "known": hosts, "settings": SETTINGS}))
+        config.write_text(
+            json.dumps({**told, "limits": limits, "known": hosts, "settings": PLATFORM_SETTINGS})
+        )
 
         (folder / "state").mkdir()
         self.environ = {
@@ -113,7 +118,9 @@
             return b""
 
     def put(self, name: str, sort: str, body: str, link: socket.socket | None = None) -> bytes:
-        return self.ask(Quay.command("MSG.PUT", "0", name, f"c={sort},d=9000,dest=7", body), link=link)
+        return self.ask(
+            InMemoryDispatcher.command("MSG.PUT", "0", name, f"c={sort},d=9000,dest=7", body), link=link
+        )
 
 
 def until(true: Callable[[], bool]) -> None:
@@ -200,7 +207,9 @@
         process.child.send_signal(signal.SIGSTOP)
         links = [kept, *(process.open() for _ in range(6))]
         for number, link in enumerate(links):
-            link.sendall(Quay.command("MSG.PUT", "0", f"s{number}", "c=news,d=9000,dest=7", "quick"))
+            link.sendall(
+                InMemoryDispatcher.command("MSG.PUT", "0", f"s{number}", "c=news,d=9000,dest=7", "quick")
+            )
         time.sleep(0.4)
         for link in links:
             link.close()
@@ -223,7 +232,9 @@
         process.child.send_signal(signal.SIGSTOP)
         for number in range(240):
             crowd.append(process.open())
-            crowd[-1].sendall(Quay.command("MSG.PUT", "0", f"m{number}", "c=news,d=9000,dest=7", "quick"))
+            crowd[-1].sendall(
+                InMemoryDispatcher.command("MSG.PUT", "0", f"m{number}", "c=news,d=9000,dest=7", "quick")
+            )
         process.child.send_signal(signal.SIGCONT)
         most = 0
         for link in crowd:
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from dock import Dock
+from drivers import PolicyDriver
 
 from benchmarks import ramp
 from laureldock import interface
@@ -36,40 +36,40 @@
 def test_a_route_that_refused_for_a_second_is_not_cold(ending: str, cold: bool) -> None:
     """Guards against a route that many instances call often and take for cold after refusals: on a busy day
     without faults that held up the messages of least importance."""
-    dock = Dock(instances=200, connect_timeout=1.5, max_attempts=9)
-    dock.listed("north/1")
-    ended, due = 0, dock.now
+    driver = PolicyDriver(instances=200, connect_timeout=1.5, max_attempts=9)
+    driver.update_list("north/1")
+    ended, due = 0, driver.now
     for step in range(200):  # ten seconds, ten mails a second; two fail 0.8 s apart, the next is served
         if step % 2 == 0:
-            dock.mail(f"m{step}", "redeliverable", left=30.0)
-        dock.after(0.05)
-        for name in sorted(dock.out)[:1] if ended < 3 and dock.now >= due else ():
-            ended, due = ended + 1, dock.now + 0.8
-            dock.end(name, ending if ended < 3 else "served")
+            driver.accept(f"m{step}", "redeliverable", lifetime=30.0)
+        driver.advance(0.05)
+        for name in sorted(driver.attempts)[:1] if ended < 3 and driver.now >= due else ():
+            ended, due = ended + 1, driver.now + 0.8
+            driver.end_attempt(name, ending if ended < 3 else "served")
         if ended == 3:
             break
-    route = dock.routes["north/1"].policy_state
-    assert any("served" in line for line in dock.lines)
-    assert (dock.control.slow_start(dock.now, route) < 1) == cold
+    route = driver.routes["north/1"].policy_state
+    assert any("served" in line for line in driver.lines)
+    assert (driver.policy.slow_start(driver.now, route) < 1) == cold
 
 
-def served_once(instances: int, waiting: int) -> Dock:
+def served_once(instances: int, waiting: int) -> PolicyDriver:
     """A dispatcher that calls routes rarely; one was silent once, and is served with its first call."""
-    dock = Dock(instances=instances, connect_timeout=1.5, max_attempts=9)
-    dock.listed("north/1", rate=10.0)
-    dock.listed(*(f"other/{place}" for place in range(20)))
+    driver = PolicyDriver(instances=instances, connect_timeout=1.5, max_attempts=9)
+    driver.update_list("north/1", rate=10.0)
+    driver.update_list(*(f"other/{place}" for place in range(20)))
     for name, ending in (("first", "served"), ("lost", "no connection")):
-        dock.after(0.5)
-        dock.mail(name, "redeliverable", left=60.0)
-        dock.after(1.5)
-        dock.end(name, ending, took=1.5)
+        driver.advance(0.5)
+        driver.accept(name, "redeliverable", lifetime=60.0)
+        driver.advance(1.5)
+        driver.end_attempt(name, ending, duration=1.5)
     for number in range(waiting):
-        dock.mail(f"m{number}", "redeliverable", left=60.0)
-    while not dock.out:
-        dock.after(0.05)
-    for name in sorted(dock.out):
-        dock.end(name, "served")
-    return dock
+        driver.accept(f"m{number}", "redeliverable", lifetime=60.0)
+    while not driver.attempts:
+        driver.advance(0.05)
+    for name in sorted(driver.attempts):
+        driver.end_attempt(name, "served")
+    return driver
 
 
 @pytest.mark.parametrize("instances", [9, 20, 30])
@@ -78,22 +78,22 @@
     instances: int, waiting: int, cold: bool
 ) -> None:
     """One failure and its backoff are no run of failures; a single message needs no shaping, many do."""
-    dock = served_once(instances, waiting)
-    assert dock.control.sparse_traffic
-    assert (dock.control.slow_start(dock.now, dock.routes["north/1"].policy_state) < 1) == cold
+    driver = served_once(instances, waiting)
+    assert driver.policy.sparse_traffic
+    assert (driver.policy.slow_start(driver.now, driver.routes["north/1"].policy_state) < 1) == cold
 
 
 def test_one_of_many_instances_sends_a_backlog_no_faster_than_the_rate_of_a_route_that_was_cold() -> None:
     """Once the route was warm, each instance sent its backlog at twenty a second; the route takes ten."""
-    dock = served_once(20, 90)
-    route = dock.routes["north/1"].policy_state
+    driver = served_once(20, 90)
+    route = driver.routes["north/1"].policy_state
     most = ended = 0
     for _ in range(round(30 / 0.05)):  # all calls are answered at once
-        dock.after(0.05)
-        for name in sorted(dock.out):
-            dock.end(name, "served", took=0.05)
-            ended += dock.control.slow_start(dock.now, route) == 1
-        most = max(most, sum("to north/1," in line and at(line) > dock.now - 101 for line in dock.lines))
+        driver.advance(0.05)
+        for name in sorted(driver.attempts):
+            driver.end_attempt(name, "served", duration=0.05)
+            ended += driver.policy.slow_start(driver.now, route) == 1
+        most = max(most, sum("to north/1," in line and at(line) > driver.now - 101 for line in driver.lines))
     assert ended > 20 and most <= 11, (ended, most)
 
 
@@ -106,33 +106,33 @@
 def test_a_short_outage_counts_as_one_for_a_dispatcher_that_is_alone(outage: float, load: float) -> None:
     """Under three seconds it passed for none, and the backlog went at once: 63 calls where 46 were borne."""
     rate, start, warm, fall, tip = 40.0, 0.3, 4.0, 1.5, 1.5
-    dock = Dock(
+    driver = PolicyDriver(
         instances=1, slots=64, room=2000, start_capacity=start, tip_multiple=tip, fall_time=fall,
         warm_time=warm, max_attempts=8,
     )  # fmt: skip
-    dock.listed("north/1", rate=rate)
+    driver.update_list("north/1", rate=rate)
     chance = random.Random(1)
-    started_at = next_message_at = dock.now
+    started_at = next_message_at = driver.now
     recovered_at = started_at + 3.0 + outage
     responses: list[tuple[float, str, bool]] = []  # when, for which message, whether it is served
     sent: list[float] = []
-    while dock.now < recovered_at + warm:
-        dock.now += 0.02
-        while next_message_at <= dock.now:
-            dock.mail(f"m{next_message_at}", "redeliverable")
+    while driver.now < recovered_at + warm:
+        driver.now += 0.02
+        while next_message_at <= driver.now:
+            driver.accept(f"m{next_message_at}", "redeliverable")
             next_message_at += chance.expovariate(load)
-        up = not started_at + 3.0 <= dock.now < recovered_at
-        for effect in dock.control.turn(dock.now):
+        up = not started_at + 3.0 <= driver.now < recovered_at
+        for effect in driver.policy.turn(driver.now):
             if isinstance(effect, interface.Attempt):
-                name = dock.names[effect.message]
-                dock.out[name] = effect
-                responses.append((dock.now + (0.06 if up else 0.0), name, up))
-                sent += [dock.now] if dock.now >= recovered_at else []
+                name = driver.message_names[effect.message]
+                driver.attempts[name] = effect
+                responses.append((driver.now + (0.06 if up else 0.0), name, up))
+                sent += [driver.now] if driver.now >= recovered_at else []
             elif isinstance(effect, interface.StartTimer) and effect.name == "sweep":
-                dock.control.timer_expired(dock.now, "sweep")
-        for response in [each for each in responses if each[0] <= dock.now]:
+                driver.policy.timer_expired(driver.now, "sweep")
+        for response in [each for each in responses if each[0] <= driver.now]:
             responses.remove(response)
-            dock.end(response[1], "served" if response[2] else "no connection", took=0.06)
+            driver.end_attempt(response[1], "served" if response[2] else "no connection", duration=0.06)
     assert sent
     for since in sent:
         capacity = rate * min(1.0, start + (1 - start) * (since - recovered_at) / warm)
@@ -144,27 +144,27 @@
 
 def test_a_route_that_requested_a_wait_and_then_failed_is_cold_when_it_recovers() -> None:
     """Its trials failed, but no run of failures had opened its circuit: it passed for one that waited."""
-    dock = Dock(
+    driver = PolicyDriver(
         instances=1, slots=64, room=2000, start_capacity=0.3, tip_multiple=1.5, fall_time=1.5, warm_time=4.0,
         max_attempts=8,
     )  # fmt: skip
-    dock.listed("north/1", rate=40.0)
+    driver.update_list("north/1", rate=40.0)
     for number in range(120):
-        dock.mail(f"m{number}", "redeliverable")
-    dock.turn()
-    for name in list(dock.out):
-        dock.end(name, "full", wait=0.3)
+        driver.accept(f"m{number}", "redeliverable")
+    driver.turn()
+    for name in list(driver.attempts):
+        driver.end_attempt(name, "full", requested_wait=0.3)
     sent, served, fails = 0, 0, 1
     for _ in range(100):
-        dock.after(0.05)
-        for name in list(dock.out):
+        driver.advance(0.05)
+        for name in list(driver.attempts):
             if fails:
                 fails -= 1
-                dock.end(name, "no connection")
+                driver.end_attempt(name, "no connection")
                 continue
             sent += 1
-            served = served or len(dock.lines)
-            dock.end(name, "served", took=0.02)
-        if served and dock.now >= 100 + float(dock.lines[served - 1].split()[0]) + 1.5:
+            served = served or len(driver.lines)
+            driver.end_attempt(name, "served", duration=0.02)
+        if served and driver.now >= 100 + float(driver.lines[served - 1].split()[0]) + 1.5:
             break
     assert served and 1 < sent <= 27 + 3 * 27**0.5 + 3, sent
--- a/tests/test_sent_once_more.py
+++ b/tests/test_sent_once_more.py
@@ -5,90 +5,94 @@
 from pathlib import Path
 
 import pytest
-from dock import Pipe, Quay
+from drivers import InMemoryDispatcher, MemoryConnection
 
 
 @pytest.fixture
-def quay(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Quay:
-    return Quay(tmp_path, monkeypatch, routes="12")
+def dispatcher(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> InMemoryDispatcher:
+    return InMemoryDispatcher(tmp_path, monkeypatch, routes="12")
 
 
-def calls(quay: Quay) -> int:
-    return sum("POST /hook" in line for line in quay.lines)
+def calls(dispatcher: InMemoryDispatcher) -> int:
+    return sum("POST /hook" in line for line in dispatcher.lines)
 
 
-def notices(quay: Quay) -> int:
-    return sum("POST /v1/notices" in line for line in quay.lines)
+def notices(dispatcher: InMemoryDispatcher) -> int:
+    return sum("POST /v1/notices" in line for line in dispatcher.lines)
 
 
-def put_and_break(quay: Quay, sort: str, key: str = "0") -> None:
+def put_and_break(dispatcher: InMemoryDispatcher, sort: str, key: str = "0") -> None:
     """The answer cannot leave, and the connection breaks."""
-    client = quay.client("first client")
-    client.stuck = True
-    quay.put(client, "m1", sort, key)
-    quay.lose(client)
-    quay.flow()
+    client = dispatcher.connect_client("first client")
+    client.blocked = True
+    dispatcher.put(client, "m1", sort, key)
+    dispatcher.disconnect(client)
+    dispatcher.process_events()
 
 
-def put_again(quay: Quay, sort: str, key: str = "0") -> Pipe:
-    client = quay.client("second client")
-    quay.put(client, "m1", sort, key)
+def put_again(dispatcher: InMemoryDispatcher, sort: str, key: str = "0") -> MemoryConnection:
+    client = dispatcher.connect_client("second client")
+    dispatcher.put(client, "m1", sort, key)
     return client
 
 
-def heard(quay: Quay) -> list[str]:
-    return [line.split("second client: ")[1] for line in quay.lines if "second client: " in line]
+def heard(dispatcher: InMemoryDispatcher) -> list[str]:
+    return [line.split("second client: ")[1] for line in dispatcher.lines if "second client: " in line]
 
 
 @pytest.mark.parametrize("sort", ["charge", "order", "news"])
-def test_while_its_call_is_out_the_same_message_goes_on(quay: Quay, sort: str) -> None:
+def test_while_its_call_is_out_the_same_message_goes_on(dispatcher: InMemoryDispatcher, sort: str) -> None:
     """It once was taken for another message: a once-only one ran twice, beside itself."""
-    put_and_break(quay, sort, "key" if sort == "order" else "0")
-    put_again(quay, sort, "key" if sort == "order" else "0")
-    assert (calls(quay), heard(quay)) == (1, ["+OK"])
-    quay.answer("12", "200 OK")
-    quay.after(9.5)
-    assert (calls(quay), notices(quay)) == (1, 0)
-    assert not quay.dispatcher.held and not quay.dispatcher.store.owed
-    assert not quay.dispatcher.invariants.violations
-
-
-def test_after_its_call_was_served_it_is_accepted_and_not_sent_again(quay: Quay) -> None:
-    put_and_break(quay, "charge")
-    quay.answer("12", "200 OK")
-    put_again(quay, "charge")
-    quay.after(1.0)
-    assert (calls(quay), heard(quay), notices(quay)) == (1, ["+OK"], 0)
-    assert not quay.dispatcher.store.owed
-
-
-def test_after_its_call_failed_once_only_is_failed_and_not_sent_again(quay: Quay) -> None:
-    put_and_break(quay, "charge")
-    quay.answer("12", "500 Internal Server Error")
-    put_again(quay, "charge")
-    quay.after(1.0)
-    assert (calls(quay), heard(quay), notices(quay)) == (1, ["-ERR"], 0)
-    assert not quay.dispatcher.store.owed
-
-
-def test_nobody_who_sends_it_again_leaves_nothing_owed(quay: Quay) -> None:
-    put_and_break(quay, "news")
-    quay.after(1.0)
-    assert not quay.dispatcher.held and not quay.dispatcher.store.owed
-    assert (calls(quay), notices(quay)) == (1, 0)
-
-
-def test_a_late_end_of_the_first_touches_no_second_message_of_that_id(quay: Quay) -> None:
+    put_and_break(dispatcher, sort, "key" if sort == "order" else "0")
+    put_again(dispatcher, sort, "key" if sort == "order" else "0")
+    assert (calls(dispatcher), heard(dispatcher)) == (1, ["+OK"])
+    dispatcher.respond("12", "200 OK")
+    dispatcher.advance(9.5)
+    assert (calls(dispatcher), notices(dispatcher)) == (1, 0)
+    assert not dispatcher.core.held and not dispatcher.core.store.owed
+    assert not dispatcher.core.invariants.violations
+
+
+def test_after_its_call_was_served_it_is_accepted_and_not_sent_again(dispatcher: InMemoryDispatcher) -> None:
+    put_and_break(dispatcher, "charge")
+    dispatcher.respond("12", "200 OK")
+    put_again(dispatcher, "charge")
+    dispatcher.advance(1.0)
+    assert (calls(dispatcher), heard(dispatcher), notices(dispatcher)) == (1, ["+OK"], 0)
+    assert not dispatcher.core.store.owed
+
+
+def test_after_its_call_failed_once_only_is_failed_and_not_sent_again(dispatcher: InMemoryDispatcher) -> None:
+    put_and_break(dispatcher, "charge")
+    dispatcher.respond("12", "500 Internal Server Error")
+    put_again(dispatcher, "charge")
+    dispatcher.advance(1.0)
+    assert (calls(dispatcher), heard(dispatcher), notices(dispatcher)) == (1, ["-ERR"], 0)
+    assert not dispatcher.core.store.owed
+
+
+def test_nobody_who_sends_it_again_leaves_nothing_owed(dispatcher: InMemoryDispatcher) -> None:
+    put_and_break(dispatcher, "news")
+    dispatcher.advance(1.0)
+    assert not dispatcher.core.held and not dispatcher.core.store.owed
+    assert (calls(dispatcher), notices(dispatcher)) == (1, 0)
+
+
+def test_a_late_end_of_the_first_touches_no_second_message_of_that_id(dispatcher: InMemoryDispatcher) -> None:
     """Its end once took the second one's record out of the store."""
-    put_and_break(quay, "news")
-    quay.after(1.0)
-    put_again(quay, "news")
-    first = next(pipe for pipe in quay.pipes if pipe.asked and pipe.name in ("1", "2"))
-    quay.answer(first.name, "500 Internal Server Error")
-    assert b"m1" in quay.dispatcher.by_name and b"m1" in quay.dispatcher.store.owed
-    quay.after(0.1)
-    for pipe in list(quay.pipes):
-        if pipe.asked and pipe.name in ("1", "2"):
-            quay.answer(pipe.name, "200 OK")
-    quay.after(0.5)
-    assert not quay.dispatcher.held and not quay.dispatcher.store.owed
+    put_and_break(dispatcher, "news")
+    dispatcher.advance(1.0)
+    put_again(dispatcher, "news")
+    first = next(
+        connection
+        for connection in dispatcher.connections
+        if connection.awaits_response and connection.name in ("1", "2")
+    )
+    dispatcher.respond(first.name, "500 Internal Server Error")
+    assert b"m1" in dispatcher.core.by_name and b"m1" in dispatcher.core.store.owed
+    dispatcher.advance(0.1)
+    for connection in list(dispatcher.connections):
+        if connection.awaits_response and connection.name in ("1", "2"):
+            dispatcher.respond(connection.name, "200 OK")
+    dispatcher.advance(0.5)
+    assert not dispatcher.core.held and not dispatcher.core.store.owed
--- a/tests/test_served.py
+++ b/tests/test_served.py
@@ -16,7 +16,7 @@
 import pytest
 import redis
 from daemon import HEAD, Daemon, daemon
-from dock import Quay
+from drivers import InMemoryDispatcher
 from redis._parsers import _HiredisParser, _RESP2Parser
 
 from laureldock.core.messages import StoredMessage
@@ -180,7 +180,7 @@
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.port)
-            writer.write(Quay.command("SNEEZE") * 200)
+            writer.write(InMemoryDispatcher.command("SNEEZE") * 200)
             answers = (await asyncio.wait_for(reader.read(), 5)).split(b"\r\n")
             assert answers[-2] == b"-ERR too many errors" and len(answers) == 18
             assert len(told(here, "malformed request")) <= 20
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -15,7 +15,7 @@
 
 import pytest
 import structlog
-from dock import Quay
+from drivers import InMemoryDispatcher
 from pytest import approx
 
 from laureldock.core.messages import StoredMessage
@@ -39,23 +39,25 @@
         calls.remove()
 
 
-def kill(quay: Quay) -> None:
+def kill(dispatcher: InMemoryDispatcher) -> None:
     """The process ends as by SIGKILL: its timers and its lock go, its folder stays."""
-    store: Any = quay.dispatcher.store
+    store: Any = dispatcher.core.store
     store.close()
-    timers: Any = quay.reactor.getDelayedCalls()
+    timers: Any = dispatcher.reactor.getDelayedCalls()
     for timer in list(timers):
         timer.cancel()
 
 
-def hooks(quay: Quay) -> list[str]:
+def hooks(dispatcher: InMemoryDispatcher) -> list[str]:
     """Names of the messages that receivers were sent, in turn."""
-    return [line.partition("X-Call-Id: ")[2].split(" ")[0] for line in quay.lines if "POST /hook" in line]
+    return [
+        line.partition("X-Call-Id: ")[2].split(" ")[0] for line in dispatcher.lines if "POST /hook" in line
+    ]
 
 
-def notices(quay: Quay) -> list[str]:
+def notices(dispatcher: InMemoryDispatcher) -> list[str]:
     """Names of the messages that ended by a notice, in turn."""
-    posts = [line for line in quay.lines if "POST /v1/notices" in line]
+    posts = [line for line in dispatcher.lines if "POST /v1/notices" in line]
     return [part.split('"')[3] for line in posts for part in line.split(" | ") if '"message"' in part]
 
 
@@ -66,20 +68,22 @@
     for number, step in enumerate((HOUR, -HOUR)):
         folder = tmp_path / str(number)
         folder.mkdir()
-        quay = Quay(folder, monkeypatch)
-        quay.late = {"1"}
-        quay.put(quay.client(), "m1", "charge")
-        kill(quay)
-        monkeypatch.setattr("time.time", lambda quay=quay, step=step: 1e9 + quay.reactor.seconds() + step)
-        quay.lines.clear()
-        quay.start()
-        quay.after(0.5)
-        assert not notices(quay), step
-        quay.after(9.0)
-        assert notices(quay) == ["m1"], step
-        quay.late = set()
-        quay.after(1.0)
-        assert not hooks(quay), step
+        dispatcher = InMemoryDispatcher(folder, monkeypatch)
+        dispatcher.not_connecting = {"1"}
+        dispatcher.put(dispatcher.connect_client(), "m1", "charge")
+        kill(dispatcher)
+        monkeypatch.setattr(
+            "time.time", lambda dispatcher=dispatcher, step=step: 1e9 + dispatcher.reactor.seconds() + step
+        )
+        dispatcher.lines.clear()
+        dispatcher.start()
+        dispatcher.advance(0.5)
+        assert not notices(dispatcher), step
+        dispatcher.advance(9.0)
+        assert notices(dispatcher) == ["m1"], step
+        dispatcher.not_connecting = set()
+        dispatcher.advance(1.0)
+        assert not hooks(dispatcher), step
 
 
 def test_what_was_told_busy_while_writes_failed_never_runs_nor_ends_again(
@@ -89,29 +93,29 @@
     for seed in range(12):
         folder = tmp_path / str(seed)
         folder.mkdir()
-        quay = Quay(folder, monkeypatch)
-        quay.late = {"1"}
+        dispatcher = InMemoryDispatcher(folder, monkeypatch)
+        dispatcher.not_connecting = {"1"}
         told = {}
-        with failing(quay.state, Fault.DISK_ERROR, seed, 0.5):
+        with failing(dispatcher.folder, Fault.DISK_ERROR, seed, 0.5):
             for number in range(140):
-                client = quay.client(f"client-{number}")
-                quay.put(client, f"m{number:03}", "charge", left=3000)
-                said = [line for line in quay.lines if f"client-{number}:" in line]
+                client = dispatcher.connect_client(f"client-{number}")
+                dispatcher.put(client, f"m{number:03}", "charge", lifetime=3000)
+                said = [line for line in dispatcher.lines if f"client-{number}:" in line]
                 told[f"m{number:03}"] = said[-1].split()[-1] if said else ""
-            quay.after(0.2)
-        kill(quay)
-        ended = notices(quay)
-        quay.late = set()
-        quay.start()
+            dispatcher.advance(0.2)
+        kill(dispatcher)
+        ended = notices(dispatcher)
+        dispatcher.not_connecting = set()
+        dispatcher.start()
         for _ in range(80):
-            quay.after(0.05)
-            for pipe in list(quay.pipes):
-                if pipe.name == "1" and pipe.asked:
-                    quay.answer("1", "200 OK")
+            dispatcher.advance(0.05)
+            for connection in list(dispatcher.connections):
+                if connection.name == "1" and connection.awaits_response:
+                    dispatcher.respond("1", "200 OK")
         refused = [name for name, word in told.items() if word == "-BUSY" or word.isdigit()]
         taken = [name for name, word in told.items() if word == "+OK"]
         assert refused and taken
-        ran, ends = hooks(quay), [*hooks(quay), *notices(quay)]
+        ran, ends = hooks(dispatcher), [*hooks(dispatcher), *notices(dispatcher)]
         assert not set(refused) & {*ran, *ends}, (seed, "told BUSY, and more came of it")
         assert not set(ended) & set(ran), (seed, "ended by a notice, and ran in the next life")
         assert sorted(ends) == sorted(taken), (seed, "not one end for each that was accepted")
@@ -239,16 +243,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Nothing was queued, so that a retry had nothing to write, and each draw met the failure anew."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.late = {"1"}
-    quay.put(quay.client(), "m1")
-    with failing(quay.state, Fault.DISK_ERROR):
-        quay.late = set()
-        quay.after(2.0)
-        assert quay.dispatcher.records.failing
-        assert quay.dispatcher.counters["connects"] == 1
-    quay.after(0.1)
-    assert not quay.dispatcher.records.failing and hooks(quay) == ["m1"]
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.not_connecting = {"1"}
+    dispatcher.put(dispatcher.connect_client(), "m1")
+    with failing(dispatcher.folder, Fault.DISK_ERROR):
+        dispatcher.not_connecting = set()
+        dispatcher.advance(2.0)
+        assert dispatcher.core.records.failing
+        assert dispatcher.core.counters["connects"] == 1
+    dispatcher.advance(0.1)
+    assert not dispatcher.core.records.failing and hooks(dispatcher) == ["m1"]
 
 
 def test_two_processes_of_one_dispatcher_write_no_line_over_each_other(tmp_path: Path) -> None:
@@ -269,16 +273,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It ended with the record unwritten, and the next life sent the message once more."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.put(quay.client(), "m1", "order", "key")
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.put(dispatcher.connect_client(), "m1", "order", "key")
     stopped: list[None] = []
-    with failing(quay.state, Fault.DISK_ERROR):
-        quay.answer("1", "200 OK")
-        quay.assembly.stop().addCallback(stopped.append)
-        quay.after(2.0)
-        assert not stopped and quay.dispatcher.store.behind
-    quay.after(0.2)
-    assert stopped and not quay.dispatcher.store.owed
-    quay.start()
-    quay.after(1.0)
-    assert hooks(quay) == ["m1"]
+    with failing(dispatcher.folder, Fault.DISK_ERROR):
+        dispatcher.respond("1", "200 OK")
+        dispatcher.assembly.stop().addCallback(stopped.append)
+        dispatcher.advance(2.0)
+        assert not stopped and dispatcher.core.store.behind
+    dispatcher.advance(0.2)
+    assert stopped and not dispatcher.core.store.owed
+    dispatcher.start()
+    dispatcher.advance(1.0)
+    assert hooks(dispatcher) == ["m1"]
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -17,7 +17,7 @@
 import pytest
 import redis
 from daemon import HEAD, Daemon, daemon
-from shore import Peer, Shore
+from socket_dispatcher import Connection, SocketDispatcher
 
 from laureldock.core.messages import StoredMessage
 from laureldock.fronts.resp import Client
@@ -34,25 +34,25 @@
     asyncio.run(scenario)
 
 
-async def launch(here: Daemon, *windows: Window) -> None:
+async def launch(dispatcher: Daemon, *windows: Window) -> None:
     """Start the dispatcher again, with calls that fail."""
-    await here.kill()
-    plan = here.folder / "faults.json"
-    FaultPlan(str(here.folder / "state"), 7, list(windows)).write(plan)
+    await dispatcher.kill()
+    plan = dispatcher.folder / "faults.json"
+    FaultPlan(str(dispatcher.folder / "state"), 7, list(windows)).write(plan)
     module = "laureldock.rehearsal.soak.faulty_process"
-    command = [sys.executable, "-m", module, str(plan), "serve", str(here.file)]
-    log = (here.folder / "log").open("ab")
-    here.process = await asyncio.create_subprocess_exec(*command, stdout=log, stderr=log)
+    command = [sys.executable, "-m", module, str(plan), "serve", str(dispatcher.file)]
+    log = (dispatcher.folder / "log").open("ab")
+    dispatcher.process = await asyncio.create_subprocess_exec(*command, stdout=log, stderr=log)
     log.close()
-    await here.ready()
+    await dispatcher.ready()
 
 
 def test_a_process_started_while_the_disk_fails_serves_what_is_owed_and_what_comes(tmp_path: Path) -> None:
     """It once ended at once, with an empty folder as with one that owed something."""
 
     async def scenario(folder: Path, owed: list[str]) -> None:
-        async with daemon(folder, NAMES) as here:
-            await here.kill()
+        async with daemon(folder, NAMES) as dispatcher:
+            await dispatcher.kill()
             for file in (folder / "state").glob("spool*"):
                 file.unlink()
             for name in owed:
@@ -62,18 +62,18 @@
                 assert spool.take(StoredMessage(name.encode(), None, "news", "", b"", "north", end, b"hello"))
                 spool.close()
             began = time.monotonic()
-            await launch(here, Window(Fault.DISK_ERROR, began, began + 3.0))
+            await launch(dispatcher, Window(Fault.DISK_ERROR, began, began + 3.0))
             until = time.monotonic() + 8
             while True:
                 try:
-                    await here.put("new")
+                    await dispatcher.put("new")
                     break
                 except redis.ResponseError as refused:
                     assert str(refused).startswith("BUSY")
                     assert time.monotonic() < until
                     await asyncio.sleep(0.1)
-            await here.until("relayed", 1 + len(owed))
-            assert Counter(call.mail for call in here.account.calls) == Counter(["new", *owed])
+            await dispatcher.until("relayed", 1 + len(owed))
+            assert Counter(call.mail for call in dispatcher.account.calls) == Counter(["new", *owed])
 
     for number, owed in enumerate(([], ["old"])):
         folder = tmp_path / str(number)
@@ -88,13 +88,13 @@
     """With an operators' address it once ended at once."""
 
     async def scenario() -> None:
-        async with daemon(tmp_path, NAMES) as here:
+        async with daemon(tmp_path, NAMES) as dispatcher:
             if operators:
-                here.write(head=f'management = "127.0.0.1:{free_port()}"\n' + HEAD)
+                dispatcher.write(head=f'management = "127.0.0.1:{free_port()}"\n' + HEAD)
             now = time.monotonic()
-            await launch(here, Window(Fault.SOCKET, now, now + 2.0))
-            await here.put("m1")
-            await here.until("relayed", 1)
+            await launch(dispatcher, Window(Fault.SOCKET, now, now + 2.0))
+            await dispatcher.put("m1")
+            await dispatcher.until("relayed", 1)
 
     run(scenario())
 
@@ -114,46 +114,48 @@
     tmp_path: Path, fault: Fault, share: float
 ) -> None:
     async def scenario() -> None:
-        async with daemon(tmp_path, NAMES) as here:
+        async with daemon(tmp_path, NAMES) as dispatcher:
             now = time.monotonic()
-            await launch(here, Window(fault, now + 1.2, now + 9.0, share))
+            await launch(dispatcher, Window(fault, now + 1.2, now + 9.0, share))
             await asyncio.sleep(max(0.0, now + 1.2 - time.monotonic()))
             accepted = []
             for number in range(60):
                 name = f"m{number:02}"
                 try:
-                    await here.put(name, ("news", "charge")[number % 2])
+                    await dispatcher.put(name, ("news", "charge")[number % 2])
                 except redis.ResponseError as refused:
                     assert str(refused).startswith("BUSY")
                 else:
                     accepted.append(name)
             assert len(accepted) > 20
-            await here.until("held", 0)
+            await dispatcher.until("held", 0)
             # Where half of all connects fail, one message in 250 finds no connection in all its attempts:
             # it has had no call, and is handed back, for that reason alone.
             lines, _ = new_lines(tmp_path / "state" / "undelivered.jsonl", 0)
             handed_back = [json.loads(line) for line in lines]
-            spent = (await here.figures()).get("deferred_no_attempt_left", 0)
+            spent = (await dispatcher.figures()).get("deferred_no_attempt_left", 0)
             assert len(handed_back) == spent <= (1 if fault is Fault.CONNECT else 0)
             assert all(each["outcome"] == "handed_back" for each in handed_back)
-            ended = [call.mail for call in here.account.calls] + [each["message"] for each in handed_back]
+            ended = [call.mail for call in dispatcher.account.calls] + [
+                each["message"] for each in handed_back
+            ]
             assert Counter(ended) == Counter(accepted)
 
     run(scenario())
 
 
 @pytest.fixture
-def shore(tmp_path: Path) -> Iterator[Shore]:
-    here = Shore(tmp_path)
-    yield here.ready()
-    here.end()
+def dispatcher(tmp_path: Path) -> Iterator[SocketDispatcher]:
+    dispatcher = SocketDispatcher(tmp_path)
+    yield dispatcher.start_until_ready()
+    dispatcher.close()
 
 
 def test_who_waits_to_be_accepted_at_a_stop_is_answered_though_accept_fails_once(
-    shore: Shore, monkeypatch: pytest.MonkeyPatch
+    dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A failed accept once ended the last look at the door, and the close reset those behind it."""
-    host, _, port = shore.listen.rpartition(":")
+    host, _, port = dispatcher.listen_address.rpartition(":")
     stopped: list[None] = []
     accept, failures = socket.socket.accept, iter([errno.ECONNABORTED, errno.ENFILE])
 
@@ -162,24 +164,24 @@
             raise OSError(number, os.strerror(number))
         return accept(door)
 
-    shore.settle()
-    shore.assembly.stop().addCallback(stopped.append)
-    shore.spend(0.55)
-    peers = [Peer(socket.create_connection((host, int(port)))) for _ in range(6)]
+    dispatcher.skip_opening_period()
+    dispatcher.assembly.stop().addCallback(stopped.append)
+    dispatcher.step_for(0.55)
+    peers = [Connection(socket.create_connection((host, int(port)))) for _ in range(6)]
     for number, peer in enumerate(peers):
-        peer.send(shore.put(f"m{number}"))
+        peer.send(dispatcher.put_request(f"m{number}"))
     monkeypatch.setattr(socket.socket, "accept", failing)
-    shore.front.shut()
-    shore.until(lambda: all(peer.pull() == OK or peer.ended for peer in peers), 2.0)
-    assert [peer.got for peer in peers] == [OK] * 6
+    dispatcher.front.shut()
+    dispatcher.step_until(lambda: all(peer.receive() == OK or peer.ended_by for peer in peers), 2.0)
+    assert [peer.received for peer in peers] == [OK] * 6
     for number in range(6):
-        shore.serve(f"m{number}")
-    shore.until(lambda: stopped)
-    assert not [peer for peer in peers if peer.ended == "reset"]
+        dispatcher.respond(f"m{number}")
+    dispatcher.step_until(lambda: stopped)
+    assert not [peer for peer in peers if peer.ended_by == "reset"]
 
 
 def test_a_connection_that_cannot_be_begun_closes_no_door(
-    shore: Shore, monkeypatch: pytest.MonkeyPatch
+    dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The reactor disconnects what raises while it is read: here that would be the listening socket."""
     begin, failures = Client.connectionMade, iter([OSError(errno.EINVAL, "reset already")])
@@ -190,7 +192,7 @@
         begin(client)
 
     monkeypatch.setattr(Client, "connectionMade", failing)
-    host, _, port = shore.listen.rpartition(":")
-    first = Peer(socket.create_connection((host, int(port))))
-    shore.until(lambda: first.pull() is not None and first.ended)
-    assert shore.client()  # answers a PING
+    host, _, port = dispatcher.listen_address.rpartition(":")
+    first = Connection(socket.create_connection((host, int(port))))
+    dispatcher.step_until(lambda: first.receive() is not None and first.ended_by)
+    assert dispatcher.connect_client()  # answers a PING
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 import pytest
-from dock import Quay
-from shore import Shore
+from drivers import InMemoryDispatcher
+from socket_dispatcher import SocketDispatcher
 
 from laureldock.sockets.reactor import OPENING, SteadyReactor
 
@@ -55,22 +55,22 @@
 
 
 def test_a_mail_that_lay_unread_ends_in_its_own_time(tmp_path: Path, monkeypatch: Any) -> None:
-    quay = Quay(tmp_path, monkeypatch)
-    quay.late.add("1")  # the receiver never comes up
-    quay.front.unread = lambda: 0.3
-    client = quay.client()
-    quay.put(client, "m", left=1000)
-    quay.after(0.85)
-    assert quay.assembly.core.counters["deferred"] == 1, quay.lines
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.not_connecting.add("1")  # the receiver never comes up
+    dispatcher.front.unread = lambda: 0.3
+    client = dispatcher.connect_client()
+    dispatcher.put(client, "m", lifetime=1000)
+    dispatcher.advance(0.85)
+    assert dispatcher.assembly.core.counters["deferred"] == 1, dispatcher.lines
 
 
 def test_a_mail_refused_before_the_door_was_open_ends_sooner(tmp_path: Path, monkeypatch: Any) -> None:
-    quay = Quay(tmp_path, monkeypatch)
-    quay.late.add("1")
-    quay.front.unread = lambda: inf
-    quay.put(quay.client(), "m", left=1300)
-    quay.after(0.65)
-    assert quay.assembly.core.counters["deferred"] == 1, quay.lines
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.not_connecting.add("1")
+    dispatcher.front.unread = lambda: inf
+    dispatcher.put(dispatcher.connect_client(), "m", lifetime=1300)
+    dispatcher.advance(0.65)
+    assert dispatcher.assembly.core.counters["deferred"] == 1, dispatcher.lines
 
 
 class FailingAccept:
@@ -89,44 +89,44 @@
 @pytest.mark.parametrize("cause", ["accepts fail", "no room"])
 def test_a_message_that_waited_to_be_accepted_ends_in_its_own_time(tmp_path: Path, cause: str) -> None:
     """Its client had connected and sent it; the lifetime was counted from when it was read."""
-    shore = Shore(tmp_path)
+    dispatcher = SocketDispatcher(tmp_path)
     try:
-        shore.ready().settle()
-        port: Any = shore.front.port
+        dispatcher.start_until_ready().skip_opening_period()
+        port: Any = dispatcher.front.port
         listening = port.socket
         if cause == "accepts fail":
             port.socket = FailingAccept(listening)
         else:
-            shore.front.turn_away(True)
-        client = shore.client(ping=False)
-        client.send(shore.put("a", left=1500))
+            dispatcher.front.turn_away(True)
+        client = dispatcher.connect_client(ping=False)
+        client.send(dispatcher.put_request("a", lifetime=1500))
         sent_at = time.monotonic()
-        shore.spend(0.35)
+        dispatcher.step_for(0.35)
         port.socket = listening
         if cause == "no room":
-            shore.front.turn_away(False)
-        shore.until(lambda: b"a" in shore.core.by_name)
-        assert shore.core.by_name[b"a"].end <= sent_at + 1.52
-        shore.until(lambda: client.pull() == b"+OK\r\n")
-        client.send(shore.put("b", left=1500))  # no time was lost before this one
+            dispatcher.front.turn_away(False)
+        dispatcher.step_until(lambda: b"a" in dispatcher.core.by_name)
+        assert dispatcher.core.by_name[b"a"].end <= sent_at + 1.52
+        dispatcher.step_until(lambda: client.receive() == b"+OK\r\n")
+        client.send(dispatcher.put_request("b", lifetime=1500))  # no time was lost before this one
         sent_at = time.monotonic()
-        shore.until(lambda: b"b" in shore.core.by_name)
-        assert sent_at + 1.4 <= shore.core.by_name[b"b"].end <= sent_at + 1.52
+        dispatcher.step_until(lambda: b"b" in dispatcher.core.by_name)
+        assert sent_at + 1.4 <= dispatcher.core.by_name[b"b"].end <= sent_at + 1.52
     finally:
-        shore.end()
+        dispatcher.close()
 
 
 def test_who_connects_after_a_moment_without_accepts_has_lost_no_time(tmp_path: Path) -> None:
-    shore = Shore(tmp_path)
+    dispatcher = SocketDispatcher(tmp_path)
     try:
-        shore.ready().settle()
-        shore.front.turn_away(True)
-        shore.spend(0.3)
-        shore.front.turn_away(False)
-        client = shore.client(ping=False)
-        client.send(shore.put("a", left=1500))
+        dispatcher.start_until_ready().skip_opening_period()
+        dispatcher.front.turn_away(True)
+        dispatcher.step_for(0.3)
+        dispatcher.front.turn_away(False)
+        client = dispatcher.connect_client(ping=False)
+        client.send(dispatcher.put_request("a", lifetime=1500))
         sent_at = time.monotonic()
-        shore.until(lambda: b"a" in shore.core.by_name)
-        assert shore.core.by_name[b"a"].end >= sent_at + 1.4
+        dispatcher.step_until(lambda: b"a" in dispatcher.core.by_name)
+        assert dispatcher.core.by_name[b"a"].end >= sent_at + 1.4
     finally:
-        shore.end()
+        dispatcher.close()
