--- a/tests/drivers.py
+++ b/tests/drivers.py
@@ -127,8 +127,9 @@
         """
         attempt_result, attempt = AttemptResult(result), self.attempts.pop(name)
         remaining, limit = rate_report or (1.0, None)
-        served = attempt_result is AttemptResult.SERVED
-        outcome = interface.Outcome(attempt_result, duration, served, requested_wait, limit, remaining)
+        outcome = interface.Outcome(
+            attempt_result, duration, attempt_result is AttemptResult.SERVED, requested_wait, limit, remaining
+        )  # fmt: skip
         self.record(f"{name}: {result}" + (f", wait {requested_wait:g}" if requested_wait else ""))
         self.policy.attempt_ended(self.now, attempt, outcome)
 
--- a/tests/socket_dispatcher.py
+++ b/tests/socket_dispatcher.py
@@ -138,7 +138,7 @@
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
     def stop_answering_list(self) -> Connection:
-        """Ignores list requests until `answers_list` is set; returns the open watch, which gets no response."""
+        """Ignores list requests until `answers_list` is set. Returns the open watch, left unanswered."""
         self.answers_list = False
         self.watches.clear()
         return self.list_requests[-1][2]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What the test set-up does with tests that are known to be red."""
+"""How conftest.py treats known failing tests, which `KNOWN-RED.txt` lists."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture
-def run(pytester: pytest.Pytester) -> pytest.Pytester:
+def project(pytester: pytest.Pytester) -> pytest.Pytester:
     pytester.makeconftest((Path(__file__).parent / "conftest.py").read_text())
     pytester.makeini("[pytest]\ntestpaths = tests")
     folder = pytester.mkdir("tests")
@@ -21,27 +21,30 @@
     return pytester
 
 
-def listed(run: pytest.Pytester, *lines: str) -> pytest.RunResult:
-    (run.path / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
-    return run.runpytest_subprocess("-p", "no:cacheprovider")
+def run_with_list(project: pytest.Pytester, *lines: str) -> pytest.RunResult:
+    (project.path / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
+    return project.runpytest_subprocess("-p", "no:cacheprovider")
 
 
-def test_a_red_test_fails_the_run_unless_it_is_listed(run: pytest.Pytester) -> None:
-    assert run.runpytest_subprocess("-p", "no:cacheprovider").ret == pytest.ExitCode.TESTS_FAILED
-    result = listed(run, "tests/test_it.py::test_red | sums are off | issue 1")
+def test_a_failing_test_fails_the_run_unless_it_is_listed(project: pytest.Pytester) -> None:
+    assert project.runpytest_subprocess("-p", "no:cacheprovider").ret == pytest.ExitCode.TESTS_FAILED
+    result = run_with_list(project, "tests/test_it.py::test_red | sums are off | issue 1")
     assert result.ret == pytest.ExitCode.OK
     result.stdout.fnmatch_lines(["known red: tests/test_it.py::test_red (sums are off, issue 1): failed"])
 
 
-def test_one_that_passes_is_said_to_come_off_the_list(run: pytest.Pytester) -> None:
+def test_a_listed_test_that_passes_is_reported(project: pytest.Pytester) -> None:
     red = "tests/test_it.py::test_red | sums are off | issue 1"
-    result = listed(run, red, "tests/test_it.py::test_green | none | issue 2")
+    result = run_with_list(project, red, "tests/test_it.py::test_green | none | issue 2")
     assert result.ret == pytest.ExitCode.OK
     result.stdout.fnmatch_lines(["known red: *test_green (none, issue 2): PASSED: it comes off the list"])
 
 
-def test_one_that_is_not_listed_fails_beside_one_that_is(run: pytest.Pytester) -> None:
-    assert listed(run, "tests/test_it.py::test_green | x | issue 1").ret == pytest.ExitCode.TESTS_FAILED
+def test_a_failing_test_that_is_not_listed_fails_the_run(project: pytest.Pytester) -> None:
+    assert (
+        run_with_list(project, "tests/test_it.py::test_green | x | issue 1").ret
+        == pytest.ExitCode.TESTS_FAILED
+    )
 
 
 @pytest.mark.parametrize(
@@ -54,7 +57,7 @@
     ],
     ids=["no such test", "a fourth", "no cause", "no issue"],
 )
-def test_a_list_that_is_not_allowed_fails_the_run(run: pytest.Pytester, lines: list[str]) -> None:
-    result = listed(run, *lines)
+def test_an_invalid_list_fails_the_run(project: pytest.Pytester, lines: list[str]) -> None:
+    result = run_with_list(project, *lines)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     result.stderr.fnmatch_lines(["*KNOWN-RED.txt: *"])
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' address of a dispatcher on its platform: readiness, figures and lameduck."""
+"""The management address of a dispatcher: readiness, counters and lameduck over HTTP."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 def call(port: int, path: str, method: str = "GET") -> tuple[int, Any]:
-    asked = urllib.request.Request(f"http://127.0.0.1:{port}{path}", method=method)
+    request = urllib.request.Request(f"http://127.0.0.1:{port}{path}", method=method)
     try:
-        with urllib.request.urlopen(asked, timeout=5) as answer:
-            return answer.status, json.loads(answer.read())
-    except urllib.error.HTTPError as answer:
-        return answer.code, json.loads(answer.read())
+        with urllib.request.urlopen(request, timeout=5) as response:
+            return response.status, json.loads(response.read())
+    except urllib.error.HTTPError as error:
+        return error.code, json.loads(error.read())
 
 
-def test_ready_figures_and_lameduck(tmp_path: Path, platform: Any) -> None:
+def test_readiness_counters_and_lameduck(tmp_path: Path, platform: Any) -> None:
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     process = Process(tmp_path, platform, {"LB_MANAGEMENT": f"127.0.0.1:{port}"})
--- a/tests/test_crossing_exit.py
+++ b/tests/test_race_exit.py
@@ -1,6 +1,6 @@
-"""Ends and starts of the process, each crossed by something that is still owed.
+"""Races between the end or start of the process and messages and notices that are pending.
 
-A kill falls between each pair of a mail's steps; the next life has the folder that the one before left.
+The process is killed between any two steps of a message; the restart finds the folder that it left.
 """
 
 from __future__ import annotations
@@ -43,120 +43,129 @@
     dispatcher.close()
 
 
-# Each step of a mail by the call that takes it, and when a call is that step.
+# Steps in the processing of a message: the method that performs the step, and which of its calls count.
 STEPS: dict[str, tuple[type, str, Callable[..., bool]]] = {
     "store written": (Spool, "take", lambda *_: True),
-    "attempt noted": (Spool, "out", lambda *_: True),
-    "last byte out": (HttpLine, "all_written", lambda line: isinstance(line.reader, Errand)),
-    "answer read": (Errand, "finish", lambda *_: False),
+    "attempt recorded": (Spool, "out", lambda *_: True),
+    "last byte written": (HttpLine, "all_written", lambda line: isinstance(line.reader, Errand)),
+    "response read": (Errand, "finish", lambda *_: False),
     "+OK written": (Client, "answered", lambda client: client.pending is not None),
-    "end noted": (Spool, "over", lambda *_: True),
-    "notice noted": (Spool, "notice", lambda *_: True),
+    "finish recorded": (Spool, "over", lambda *_: True),
+    "notice recorded": (Spool, "notice", lambda *_: True),
     "notice sent": (Notices, "written_out", lambda *_: True),
     "notice answered": (Notices, "answered", lambda *_: False),
 }
 
 
-class Death:
-    """Kills the dispatcher once, right after a step: of what was read, before what that leads to."""
+class KillAfterStep:
+    """Kills the dispatcher once, right after a step; if the step reads a response, before it is acted on."""
 
     def __init__(self, dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch, step: str) -> None:
-        self.came = False
+        self.done = False
         owner, name, due = STEPS[step]
         call = getattr(owner, name)
 
         def stepped(this: Any, *args: Any, **kwargs: Any) -> Any:
-            if self.came:  # the process is gone: whatever was still to be done is not
+            if self.done:  # the process has been killed: nothing further is done
                 return None
-            before = step in ("answer read", "notice answered")
-            came = before or due(this, *args)
-            done = None if before else call(this, *args, **kwargs)
-            if came:
-                self.came = True
+            before = step in ("response read", "notice answered")
+            reached = before or due(this, *args)
+            result = None if before else call(this, *args, **kwargs)
+            if reached:
+                self.done = True
                 dispatcher.kill()
-            return done
+            return result
 
         monkeypatch.setattr(owner, name, stepped)
         self.restore = monkeypatch.undo
 
 
-def play(dispatcher: SocketDispatcher, death: Death, peer: Connection, name: str, answer: bytes) -> bool:
-    """The receiver answers each call that comes to it, until the kill; whether the client was told `+OK`."""
-    answered: set[Connection] = set()
+def respond_until_killed(
+    dispatcher: SocketDispatcher, kill: KillAfterStep, client: Connection, name: str, response: bytes
+) -> bool:
+    """The receiver responds to each call until the kill. Returns whether the client has read its +OK."""
+    responded: set[Connection] = set()
     end = time.monotonic() + 8
-    while not death.came:
+    while not kill.done:
         assert time.monotonic() < end, dispatcher.core.counters
         dispatcher.step(0.002)
-        answer_calls(dispatcher, answered, answer)
-    death.restore()
+        respond_to_calls(dispatcher, responded, response)
+    kill.restore()
     dispatcher.platform.handle_requests()
-    return peer.receive() == OK
+    return client.receive() == OK
 
 
-def answer_calls(dispatcher: SocketDispatcher, answered: set[Connection], answer: bytes) -> None:
-    for link in dispatcher.receiver.connections:
-        if link not in answered and link.socket.fileno() >= 0 and b"\r\n\r\nhello" in link.receive():
-            answered.add(link)
-            if not link.ended_by:
-                link.send(answer)
+def respond_to_calls(dispatcher: SocketDispatcher, responded: set[Connection], response: bytes) -> None:
+    """Responds once on each connection over which a call has arrived."""
+    for connection in dispatcher.receiver.connections:
+        if (
+            connection not in responded
+            and connection.socket.fileno() >= 0
+            and b"\r\n\r\nhello" in connection.receive()
+        ):
+            responded.add(connection)
+            if not connection.ended_by:
+                connection.send(response)
 
 
-@pytest.mark.parametrize("sort", ["news", "order", "charge"])
+@pytest.mark.parametrize("queue_class", ["news", "order", "charge"])
 @pytest.mark.parametrize("step", STEPS)
-def test_a_kill_right_after_a_step_of_a_mail(
-    dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch, step: str, sort: str
+def test_a_kill_right_after_a_step_of_a_message(
+    dispatcher: SocketDispatcher, monkeypatch: pytest.MonkeyPatch, step: str, queue_class: str
 ) -> None:
-    """What was answered +OK has one end; once-only goes out once, whatever its answer was."""
-    answer = ERROR if "notice" in step else SERVED
+    """An accepted message is delivered or reported by a notice after the restart; a once-only message is sent
+    at most once, whatever the response was."""
+    response = ERROR if "notice" in step else SERVED
     dispatcher.start_until_ready()
     dispatcher.skip_opening_period()
-    peer = dispatcher.connect_client()
-    death = Death(dispatcher, monkeypatch, step)
-    peer.send(dispatcher.put_request("a", sort, key="k", lifetime=1500))
-    told = play(dispatcher, death, peer, "a", answer)
+    client = dispatcher.connect_client()
+    kill = KillAfterStep(dispatcher, monkeypatch, step)
+    client.send(dispatcher.put_request("a", queue_class, key="k", lifetime=1500))
+    accepted = respond_until_killed(dispatcher, kill, client, "a", response)
     before = dispatcher.received_calls().count("a")
     dispatcher.start_until_ready()
-    answered: set[Connection] = set()
+    responded: set[Connection] = set()
     end = time.monotonic() + 6
     while dispatcher.core.store.owed or dispatcher.core.outlet.waiting:
         assert time.monotonic() < end, (dispatcher.core.counters, dispatcher.core.store.owed)
-        answer_calls(dispatcher, answered, answer)
+        respond_to_calls(dispatcher, responded, response)
         dispatcher.step(0.002)
     calls, notices = (
         dispatcher.received_calls().count("a"),
         [json.loads(line) for line in dispatcher.platform.notices],
     )
     assert {notice["message"] for notice in notices} <= {"a"}
-    if sort == "charge":
+    if queue_class == "charge":
         assert calls <= 1
-        if step in ("attempt noted", "last byte out", "answer read"):  # it may have run: no second time
+        # After these steps it may have run, so it is not sent again.
+        if step in ("attempt recorded", "last byte written", "response read"):
             assert calls == before and [each["outcome"] for each in notices] == ["given_up"]
-    if told:
-        assert notices or (answer == SERVED and calls)
-    if answer == SERVED and sort != "charge":
+    if accepted:
+        assert notices or (response == SERVED and calls)
+    if response == SERVED and queue_class != "charge":
         assert calls and not notices
-    if step in ("store written", "+OK written"):  # untried then, and tried
+    if step in ("store written", "+OK written"):  # without an attempt at the kill, so it gets one
         assert calls
-    # The key is free for the next once it has rested for a call that the kill, or a time-out, has broken.
-    rested = time.monotonic() + dispatcher.core.tariff.key_cooldown_time + 0.1
+    # The key is free for its next message after the cooldown for a call that the kill or a timeout broke.
+    cooled_down_at = time.monotonic() + dispatcher.core.tariff.key_cooldown_time + 0.1
     while dispatcher.core.control.key_queues:
-        assert time.monotonic() < rested, dispatcher.core.control.key_queues
+        assert time.monotonic() < cooled_down_at, dispatcher.core.control.key_queues
         dispatcher.step(0.002)
-        dispatcher.core.turn()  # as any event brings
+        dispatcher.core.turn()  # as any event would
 
 
-def test_a_notice_unanswered_at_the_kill_is_sent_again_and_clients_come_meanwhile(
+def test_a_notice_unanswered_at_the_kill_is_sent_again_while_clients_are_accepted(
     dispatcher: SocketDispatcher,
 ) -> None:
     dispatcher.start_until_ready()
     dispatcher.skip_opening_period()
     dispatcher.platform.accepts_notices = False
     dispatcher.receiver.listener.close()
-    peer = dispatcher.connect_client()
-    peer.send(dispatcher.put_request("a", lifetime=300))
-    dispatcher.step_until(lambda: peer.receive() == OK and dispatcher.core.outlet.waiting)
+    client = dispatcher.connect_client()
+    client.send(dispatcher.put_request("a", lifetime=300))
+    dispatcher.step_until(lambda: client.receive() == OK and dispatcher.core.outlet.waiting)
     dispatcher.kill()
-    dispatcher.start_until_ready()  # nobody answers notices
+    dispatcher.start_until_ready()  # no response to notices
     other = dispatcher.connect_client()
     other.send(b"PING\r\n")
     dispatcher.step_until(lambda: other.receive() == b"+PONG\r\n")
@@ -165,41 +174,45 @@
     assert [json.loads(line)["message"] for line in dispatcher.platform.notices] == ["a"]
 
 
-def test_a_notice_whose_answer_is_cut_is_sent_again_and_ends_once(dispatcher: SocketDispatcher) -> None:
+def test_a_notice_whose_response_is_cut_off_is_sent_again_and_finished_once(
+    dispatcher: SocketDispatcher,
+) -> None:
     dispatcher.start_until_ready()
     dispatcher.skip_opening_period()
     dispatcher.platform.accepts_notices = False
     dispatcher.receiver.listener.close()
-    peer = dispatcher.connect_client()
-    peer.send(dispatcher.put_request("a", lifetime=300))
-    posts: list[Connection] = []
-
-    def posted() -> bool:
-        posts[:] = [each for each in dispatcher.platform.connections if b"POST /v1/notices" in each.received]
-        return bool(posts)
-
-    dispatcher.step_until(posted)
-    posts[0].send(b"HTTP/1.1 204 No Con")
-    posts[0].reset()
+    client = dispatcher.connect_client()
+    client.send(dispatcher.put_request("a", lifetime=300))
+    post_connections: list[Connection] = []
+
+    def notice_posted() -> bool:
+        post_connections[:] = [
+            each for each in dispatcher.platform.connections if b"POST /v1/notices" in each.received
+        ]
+        return bool(post_connections)
+
+    dispatcher.step_until(notice_posted)
+    post_connections[0].send(b"HTTP/1.1 204 No Con")
+    post_connections[0].reset()
     dispatcher.platform.accepts_notices = True
     dispatcher.step_until(lambda: not dispatcher.core.store.owed and not dispatcher.core.outlet.waiting)
     assert [json.loads(line)["message"] for line in dispatcher.platform.notices] == ["a"]
 
 
-def test_a_stop_before_the_list_has_answered_opens_no_door_and_keeps_what_is_owed(
+def test_a_stop_before_the_list_has_arrived_accepts_no_client_and_keeps_pending_messages(
     dispatcher: SocketDispatcher,
 ) -> None:
     dispatcher.start_until_ready()
-    peer = dispatcher.connect_client()
-    peer.send(dispatcher.put_request("a", "charge", lifetime=9000))
-    dispatcher.step_until(lambda: peer.receive() == OK)
+    client = dispatcher.connect_client()
+    client.send(dispatcher.put_request("a", "charge", lifetime=9000))
+    dispatcher.step_until(lambda: client.receive() == OK)
     dispatcher.wait_for_call("a")
     dispatcher.kill()
     dispatcher.platform.answers_list = False
     dispatcher.start()
-    over: list[bool] = []
-    dispatcher.core.stop(lambda: over.append(True))
-    dispatcher.step_until(lambda: over, timeout=4.0)
+    stopped: list[bool] = []
+    dispatcher.core.stop(lambda: stopped.append(True))
+    dispatcher.step_until(lambda: stopped, timeout=4.0)
     assert not dispatcher.core.ready and list(dispatcher.core.store.owed) == [b"a"]
     dispatcher.kill()
     dispatcher.platform.answers_list = True
@@ -208,64 +221,70 @@
     assert [json.loads(line)["outcome"] for line in dispatcher.platform.notices] == ["given_up"]
 
 
-def test_untried_mails_of_the_life_before_are_tried_at_once(dispatcher: SocketDispatcher) -> None:
+def test_unattempted_messages_of_the_previous_process_are_attempted_at_once(
+    dispatcher: SocketDispatcher,
+) -> None:
     dispatcher.start_until_ready()
     dispatcher.skip_opening_period()
     dispatcher.receiver.listener.listen(0)
-    peer = dispatcher.connect_client()
+    client = dispatcher.connect_client()
     names = [f"m{number}" for number in range(20)]
     for name in names:
-        peer.received = b""
-        peer.send(dispatcher.put_request(name, "charge", lifetime=6000))
-        dispatcher.step_until(lambda: peer.receive() == OK)
-    untried = [mail.name.decode() for mail in dispatcher.core.store.owed.values() if mail.out is None]
-    assert len(untried) > 8
+        client.received = b""
+        client.send(dispatcher.put_request(name, "charge", lifetime=6000))
+        dispatcher.step_until(lambda: client.receive() == OK)
+    unattempted = [
+        message.name.decode() for message in dispatcher.core.store.owed.values() if message.out is None
+    ]
+    assert len(unattempted) > 8
     dispatcher.kill()
-    began, answered = time.monotonic(), set[Connection]()
-    for link in dispatcher.receiver.connections:
-        link.close()
+    started_at, responded = time.monotonic(), set[Connection]()
+    for connection in dispatcher.receiver.connections:
+        connection.close()
     dispatcher.start_until_ready()
     while dispatcher.core.store.owed:
-        assert time.monotonic() - began < 3.0, dispatcher.core.counters  # half of their time
-        answer_calls(dispatcher, answered, SERVED)
-        for link in list(answered):  # further calls on kept connections
-            link.receive()
-            if link.received.count(b"\r\n\r\nhello") > 1:
-                link.received = link.received.replace(b"\r\n\r\nhello", b"", 1)
-                answered.discard(link)
+        assert time.monotonic() - started_at < 3.0, dispatcher.core.counters  # half of their lifetime
+        respond_to_calls(dispatcher, responded, SERVED)
+        for connection in list(responded):  # further calls on the same connections
+            connection.receive()
+            if connection.received.count(b"\r\n\r\nhello") > 1:
+                connection.received = connection.received.replace(b"\r\n\r\nhello", b"", 1)
+                responded.discard(connection)
         dispatcher.step(0.002)
     ended = {json.loads(line)["message"] for line in dispatcher.platform.notices}
-    assert not ended & set(untried)
+    assert not ended & set(unattempted)
 
 
-def test_a_full_store_with_nobody_at_the_list_nor_for_notices_takes_clients_soon(
+def test_a_full_store_without_list_and_notice_server_delays_clients_little(
     dispatcher: SocketDispatcher,
 ) -> None:
     dispatcher.start_until_ready()
     for number in range(2000):
         name = b"n%d" % number
-        took = dispatcher.core.store.take(owed(name))
-        dispatcher.core.store.notice(name, b'{"message":"x"}\n') if took and number % 2 else None
-    many = len(dispatcher.core.store.owed)
-    assert many > 700
+        taken = dispatcher.core.store.take(stored_message(name))
+        dispatcher.core.store.notice(name, b'{"message":"x"}\n') if taken and number % 2 else None
+    pending_count = len(dispatcher.core.store.owed)
+    assert pending_count > 700
     dispatcher.kill()
     dispatcher.platform.answers_list = dispatcher.platform.accepts_notices = False
-    began = time.monotonic()
+    started_at = time.monotonic()
     dispatcher.start()
     dispatcher.step_until(lambda: dispatcher.core.ready, timeout=10.0)
-    assert time.monotonic() - began < 5.0
-    assert len(dispatcher.core.held) == many
-    peer = dispatcher.connect_client()
-    peer.send(b"PING\r\n")
-    dispatcher.step_until(lambda: peer.receive() == b"+PONG\r\n")
+    assert time.monotonic() - started_at < 5.0
+    assert len(dispatcher.core.held) == pending_count
+    client = dispatcher.connect_client()
+    client.send(b"PING\r\n")
+    dispatcher.step_until(lambda: client.receive() == b"+PONG\r\n")
 
 
-def owed(name: bytes, sort: str = "order", left: float = 60.0, key: str | None = None) -> StoredMessage:
+def stored_message(
+    name: bytes, queue_class: str = "order", lifetime: float = 60.0, key: str | None = None
+) -> StoredMessage:
     order = "k" + name.decode()[-2:] if key is None else key or None
-    return StoredMessage(name, order, sort, "", b"t" + name, 7, time.monotonic() + left, b"hello")
+    return StoredMessage(name, order, queue_class, "", b"t" + name, 7, time.monotonic() + lifetime, b"hello")
 
 
-def launched(process: Process, run: str) -> subprocess.Popen[bytes]:
+def launch_with(process: Process, run: str) -> subprocess.Popen[bytes]:
     process.child.kill()
     process.child.wait(10)
     process.child = subprocess.Popen(["/bin/sh", "-c", run], env=process.environ, stdout=subprocess.PIPE)
@@ -273,15 +292,18 @@
 
 
 @pytest.mark.parametrize("first", [signal.SIGHUP, signal.SIGUSR1])
-def test_a_signal_in_the_first_moments_of_a_process_does_not_end_it(
+def test_a_signal_during_startup_does_not_end_the_process(
     tmp_path: Path, platform: ThreadingHTTPServer, first: signal.Signals
 ) -> None:
-    """As the platform runs it. Until its handlers stood, SIGHUP ended a process that was starting."""
-    deployed = tomllib.loads((Path(__file__).parents[1] / "deploy" / "balancer.toml").read_text())["run"]
+    """The process runs as on the platform. SIGHUP once ended a process whose signal handlers were not
+    installed yet."""
+    deployed_command = tomllib.loads((Path(__file__).parents[1] / "deploy" / "balancer.toml").read_text())[
+        "run"
+    ]
     process = Process(tmp_path, platform)
     try:
-        child = launched(process, deployed.replace(".venv/bin/python", sys.executable))
-        time.sleep(0.02)  # the shell has begun
+        child = launch_with(process, deployed_command.replace(".venv/bin/python", sys.executable))
+        time.sleep(0.02)  # the shell has started
         for _ in range(40):
             time.sleep(0.01)
             child.send_signal(first)
@@ -294,23 +316,23 @@
         process.child.wait(10)
 
 
-def test_sighup_while_the_configuration_is_first_read_has_it_read_again(
+def test_sighup_during_the_first_read_of_the_configuration_causes_a_second(
     tmp_path: Path, platform: ThreadingHTTPServer
 ) -> None:
-    """The file is a pipe, which is read just when the test writes it."""
+    """The configuration file is a pipe, so that it is read at the moment when the test writes it."""
     process = Process(tmp_path, platform)
     config = tmp_path / "config.json"
     text = config.read_text()
     config.unlink()
     os.mkfifo(config)
     try:
-        child = launched(process, f"exec {sys.executable} -m laureldock serve")
-        with config.open("w") as file:  # opens once the process has opened it
+        child = launch_with(process, f"exec {sys.executable} -m laureldock serve")
+        with config.open("w") as file:  # opens as soon as the process has opened it for reading
             child.send_signal(signal.SIGHUP)
             time.sleep(0.1)
             file.write(text)
         time.sleep(0.2)
-        with Timed(10), config.open("w") as file:
+        with TimeLimit(10), config.open("w") as file:
             file.write(text)
         end = time.monotonic() + 10
         while b"configurations_read:1" not in process.ask(b"INFO\r\n"):
@@ -321,22 +343,22 @@
         process.child.wait(10)
 
 
-class Timed:
-    """Ends what blocks for too long, in the main thread."""
+class TimeLimit:
+    """Ends a blocking call of the main thread after so many seconds."""
 
     def __init__(self, seconds: int) -> None:
         self.seconds = seconds
 
     def __enter__(self) -> None:
-        signal.signal(signal.SIGALRM, self.over)
+        signal.signal(signal.SIGALRM, self.expired)
         signal.alarm(self.seconds)
 
     def __exit__(self, *_: object) -> None:
         signal.alarm(0)
 
     @staticmethod
-    def over(*_: object) -> None:
-        raise TimeoutError("nobody reads it")
+    def expired(*_: object) -> None:
+        raise TimeoutError("the configuration is not read")
 
 
 def test_a_second_sigterm_during_a_stop_changes_nothing(
@@ -344,12 +366,12 @@
 ) -> None:
     process = Process(tmp_path, platform)
     try:
-        with process.open() as link:
-            assert process.put("m1", "news", "quick", link) == OK
+        with process.open() as connection:
+            assert process.put("m1", "news", "quick", connection) == OK
             process.child.send_signal(signal.SIGTERM)
             time.sleep(0.2)
             process.child.send_signal(signal.SIGTERM)
-            assert process.put("m2", "news", "quick", link) == OK
+            assert process.put("m2", "news", "quick", connection) == OK
         assert process.child.wait(10) == 0
     finally:
         process.child.kill()
@@ -357,7 +379,7 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "step", "reboot", "calls"),
+    ("age", "clock_step", "reboot", "expected_calls"),
     [
         pytest.param(0.3, 0.0, False, 1, id="within"),
         pytest.param(0.92, 0.0, False, 1, id="just before"),
@@ -372,77 +394,84 @@
         pytest.param(0.3, 5.0, True, 0, id="reboot and clock set forward"),
     ],
 )
-def test_a_tagged_mail_found_goes_again_only_while_its_tag_is_surely_known(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, age: float, step: float, reboot: bool, calls: int
+def test_a_tagged_message_found_at_restart_is_sent_again_only_while_its_tag_is_remembered(
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    age: float,
+    clock_step: float,
+    reboot: bool,
+    expected_calls: int,
 ) -> None:
-    """A window of one second, of real time. A step of the wall clock between two lives moves nothing; only
-    after a reboot, where no other clock goes on, does it count, and then against another try."""
-    began: list[InMemoryDispatcher] = []
-    monkeypatch.setattr("time.monotonic", lambda: began[0].reactor.seconds() if began else 100.0)
+    """Its receivers remember a tag for one second of real time. A step of the wall clock between two
+    processes makes no difference, except after a reboot, when no other clock has run on: then it counts, and
+    against another attempt."""
+    dispatchers: list[InMemoryDispatcher] = []
+    monkeypatch.setattr("time.monotonic", lambda: dispatchers[0].reactor.seconds() if dispatchers else 100.0)
     dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
-    began.append(dispatcher)
+    dispatchers.append(dispatcher)
     dispatcher.put(dispatcher.connect_client(), "m1", "stamp")
     assert dispatcher.waiting_connection("1")
     store = dispatcher.core.store
     assert isinstance(store, Spool)
-    store.close()  # killed
+    store.close()  # as if killed
     timers: Any = dispatcher.reactor.getDelayedCalls()
     for timer in list(timers):
         timer.cancel()
     dispatcher.now += age
     dispatcher.reactor.advance(age)
-    monkeypatch.setattr("time.time", lambda: 1e9 + dispatcher.reactor.seconds() + step)
+    monkeypatch.setattr("time.time", lambda: 1e9 + dispatcher.reactor.seconds() + clock_step)
     if reboot:
         monkeypatch.setattr("laureldock.clocks._boot_id", lambda: "another")
     dispatcher.lines.clear()
     dispatcher.start()
     dispatcher.advance(0.1)
     found = [line for line in dispatcher.lines if "POST /hook" in line]
-    assert len(found) == calls
+    assert len(found) == expected_calls
     ended = [line for line in dispatcher.lines if "POST /v1/notices" in line]
-    assert len(ended) == 1 - calls  # else its client hears of it, once
+    assert len(ended) == 1 - expected_calls  # a message that is not sent gets one notice
 
 
-@pytest.mark.parametrize("down", ["nothing", "discovery", "all routes at first"])
-def test_untried_mails_with_half_of_their_time_left_are_tried(
-    dispatcher: SocketDispatcher, down: str
+@pytest.mark.parametrize("unavailable", ["nothing", "discovery", "all routes at first"])
+def test_most_unattempted_messages_with_half_of_their_lifetime_left_are_attempted(
+    dispatcher: SocketDispatcher, unavailable: str
 ) -> None:
-    """Under half of them may be given up with no call; many are found at once, and slots are few."""
+    """Many are found at once, and slots are few; fewer than half of them may end without a call."""
     dispatcher.start_until_ready()
     dispatcher.skip_opening_period()
     names = [f"m{number}" for number in range(60)]
     for name in names:
-        assert dispatcher.core.store.take(owed(name.encode(), "news", 6.0, ""))
+        assert dispatcher.core.store.take(stored_message(name.encode(), "news", 6.0, ""))
     dispatcher.kill()
     port = int(dispatcher.receiver.address.rpartition(":")[2])
-    if down == "discovery":
+    if unavailable == "discovery":
         dispatcher.platform.answers_list = False
-    if down == "all routes at first":
+    if unavailable == "all routes at first":
         dispatcher.receiver.listener.close()
-    began, seen = time.monotonic(), dict[Connection, int]()
+    started_at, seen = time.monotonic(), dict[Connection, int]()
     dispatcher.start_until_ready()
     while dispatcher.core.store.owed:
-        assert time.monotonic() - began < 7.0
+        assert time.monotonic() - started_at < 7.0
         if (
-            down == "all routes at first"
-            and time.monotonic() - began > 1.0
+            unavailable == "all routes at first"
+            and time.monotonic() - started_at > 1.0
             and dispatcher.receiver.listener.fileno() < 0
         ):
             dispatcher.receiver.listener = socket.create_server(("127.0.0.1", port))
             dispatcher.receiver.listener.setblocking(False)
-        for link in dispatcher.receiver.connections:
-            whole = link.receive().count(b"\r\n\r\nhello") if link.socket.fileno() >= 0 else 0
-            for _ in range(whole - seen.get(link, 0)):
-                link.send(SERVED)
-            seen[link] = whole
+        for connection in dispatcher.receiver.connections:
+            whole = connection.receive().count(b"\r\n\r\nhello") if connection.socket.fileno() >= 0 else 0
+            for _ in range(whole - seen.get(connection, 0)):
+                connection.send(SERVED)
+            seen[connection] = whole
         dispatcher.step(0.002)
     tried = set(dispatcher.received_calls())
     assert len(tried) > len(names) // 2, (len(tried), dispatcher.core.counters)
 
 
-def test_nine_in_ten_of_thirty_processes_restarted_at_once_with_full_stores_take_clients_in_time(
+def test_thirty_processes_restarted_at_once_with_full_stores_accept_clients_in_time(
     tmp_path: Path, platform: ThreadingHTTPServer
 ) -> None:
+    """At least 27 of them must accept clients within ten seconds."""
     processes = []
     ready: list[float] = []
     try:
@@ -453,22 +482,22 @@
             process.prepare(folder, platform)
             spool = Spool(folder / "state", 1e6)
             spool.open()
-            while spool.take(owed(b"n%d" % len(spool.owed), "order", 60.0)):
+            while spool.take(stored_message(b"n%d" % len(spool.owed), "order", 60.0)):
                 pass
             assert len(spool.owed) > 700
             spool.close()
             processes.append(process)
-        began = time.monotonic()
+        started_at = time.monotonic()
         for process in processes:
             process.launch()
         waiting = list(processes)
-        while waiting and time.monotonic() - began < 20:
+        while waiting and time.monotonic() - started_at < 20:
             for process in list(waiting):
                 if process.ask(b"PING\r\n") == b"+PONG\r\n":
-                    ready.append(time.monotonic() - began)
+                    ready.append(time.monotonic() - started_at)
                     waiting.remove(process)
             time.sleep(0.02)
-        assert sum(took < 10 for took in ready) >= 27, ready
+        assert sum(seconds < 10 for seconds in ready) >= 27, ready
     finally:
         for process in processes:
             if child := getattr(process, "child", None):
@@ -476,21 +505,21 @@
                 child.wait(10)
 
 
-def test_a_notice_unanswered_at_a_planned_stop_is_kept_for_the_next_life(
+def test_a_notice_unanswered_at_a_planned_stop_is_kept_for_the_next_process(
     dispatcher: SocketDispatcher,
 ) -> None:
     dispatcher.start_until_ready()
     dispatcher.skip_opening_period()
     dispatcher.platform.accepts_notices = False
     dispatcher.receiver.listener.close()
-    peer = dispatcher.connect_client()
-    peer.send(dispatcher.put_request("a", "order", key="k", lifetime=300))
-    dispatcher.step_until(lambda: peer.receive() == OK and dispatcher.core.outlet.waiting)
-    over: list[float] = []
-    began = time.monotonic()
-    dispatcher.core.stop(lambda: over.append(time.monotonic() - began))
-    dispatcher.step_until(lambda: over, timeout=4.0)
-    assert over[0] < 3.7 and list(dispatcher.core.store.owed) == [b"a"]
+    client = dispatcher.connect_client()
+    client.send(dispatcher.put_request("a", "order", key="k", lifetime=300))
+    dispatcher.step_until(lambda: client.receive() == OK and dispatcher.core.outlet.waiting)
+    stopped: list[float] = []
+    started_at = time.monotonic()
+    dispatcher.core.stop(lambda: stopped.append(time.monotonic() - started_at))
+    dispatcher.step_until(lambda: stopped, timeout=4.0)
+    assert stopped[0] < 3.7 and list(dispatcher.core.store.owed) == [b"a"]
     dispatcher.kill()
     dispatcher.platform.accepts_notices = True
     dispatcher.start_until_ready()
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -1,4 +1,4 @@
-"""What came in while the process was busy is older than its reading."""
+"""The lifetime of a message runs from its arrival, also while the process is too busy to read it."""
 
 from __future__ import annotations
 
@@ -16,47 +16,49 @@
 from laureldock.sockets.reactor import OPENING, SteadyReactor
 
 
-class Reading:
-    """One end of a pair of sockets, read by the reactor."""
+class ReadingSocket:
+    """One end of a socket pair, read by the reactor; notes the age of what it reads."""
 
     def __init__(self, reactor: SteadyReactor) -> None:
         self.reactor, self.ages = reactor, list[float]()
-        self.far, self.near = socket.socketpair()
+        self.far_end, self.near_end = socket.socketpair()
 
     def fileno(self) -> int:
-        return self.near.fileno()
+        return self.near_end.fileno()
 
     def doRead(self) -> None:  # noqa: N802
-        self.near.recv(99)
+        self.near_end.recv(99)
         self.ages.append(self.reactor.unread())
 
     def logPrefix(self) -> str:  # noqa: N802
         return "reading"
 
 
-def test_what_lay_while_the_process_was_busy_is_known_to_be_old() -> None:
+def test_bytes_received_while_the_process_was_busy_have_an_age() -> None:
     reactor: Any = SteadyReactor()
-    reading: Any = Reading(reactor)
+    reading: Any = ReadingSocket(reactor)
     reactor.addReader(reading)
-    reactor.doIteration(0)  # at rest: nothing has come
-    time.sleep(0.2)  # busy, while something comes
-    reading.far.send(b"x")
+    reactor.doIteration(0)  # nothing has been received
+    time.sleep(0.2)  # busy while bytes arrive
+    reading.far_end.send(b"x")
     reactor.doIteration(0)
     assert reading.ages.pop() >= 0.2
-    reactor.doIteration(0)  # all is read
-    reading.far.send(b"x")
+    reactor.doIteration(0)  # nothing is unread any more
+    reading.far_end.send(b"x")
     reactor.doIteration(0)
     assert reading.ages.pop() < 0.15
-    reactor.opened = reactor.seconds()  # clients refused before come with lifetimes that run already
-    reading.far.send(b"x")
+    # Clients that were refused before then come with lifetimes that are running already.
+    reactor.opened = reactor.seconds()
+    reading.far_end.send(b"x")
     reactor.doIteration(0)
     assert reading.ages.pop() > 10 * OPENING
     reactor.removeReader(reading)
 
 
-def test_a_mail_that_lay_unread_ends_in_its_own_time(tmp_path: Path, monkeypatch: Any) -> None:
+def test_the_lifetime_of_an_unread_message_runs_from_its_arrival(tmp_path: Path, monkeypatch: Any) -> None:
+    """Its request waited unread for 0.3 s, which count against its lifetime of one second."""
     dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
-    dispatcher.not_connecting.add("1")  # the receiver never comes up
+    dispatcher.not_connecting.add("1")  # no connection to the receiver is established
     dispatcher.front.unread = lambda: 0.3
     client = dispatcher.connect_client()
     dispatcher.put(client, "m", lifetime=1000)
@@ -64,7 +66,10 @@
     assert dispatcher.assembly.core.counters["deferred"] == 1, dispatcher.lines
 
 
-def test_a_mail_refused_before_the_door_was_open_ends_sooner(tmp_path: Path, monkeypatch: Any) -> None:
+def test_a_message_that_may_have_been_refused_before_startup_ends_sooner(
+    tmp_path: Path, monkeypatch: Any
+) -> None:
+    """Its client may have been refused before the listener was open, for an unknown part of its lifetime."""
     dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
     dispatcher.not_connecting.add("1")
     dispatcher.front.unread = lambda: inf
@@ -74,7 +79,7 @@
 
 
 class FailingAccept:
-    """A listening socket that accepts nobody."""
+    """A listening socket whose accept fails."""
 
     def __init__(self, listening: socket.socket) -> None:
         self.listening = listening
@@ -87,8 +92,10 @@
 
 
 @pytest.mark.parametrize("cause", ["accepts fail", "no room"])
-def test_a_message_that_waited_to_be_accepted_ends_in_its_own_time(tmp_path: Path, cause: str) -> None:
-    """Its client had connected and sent it; the lifetime was counted from when it was read."""
+def test_the_lifetime_of_a_message_runs_while_its_connection_waits_to_be_accepted(
+    tmp_path: Path, cause: str
+) -> None:
+    """Its client had connected and sent it; the lifetime was once counted from when it was read."""
     dispatcher = SocketDispatcher(tmp_path)
     try:
         dispatcher.start_until_ready().skip_opening_period()
@@ -108,7 +115,7 @@
         dispatcher.step_until(lambda: b"a" in dispatcher.core.by_name)
         assert dispatcher.core.by_name[b"a"].end <= sent_at + 1.52
         dispatcher.step_until(lambda: client.receive() == b"+OK\r\n")
-        client.send(dispatcher.put_request("b", lifetime=1500))  # no time was lost before this one
+        client.send(dispatcher.put_request("b", lifetime=1500))  # this one did not wait
         sent_at = time.monotonic()
         dispatcher.step_until(lambda: b"b" in dispatcher.core.by_name)
         assert sent_at + 1.4 <= dispatcher.core.by_name[b"b"].end <= sent_at + 1.52
@@ -116,7 +123,7 @@
         dispatcher.close()
 
 
-def test_who_connects_after_a_moment_without_accepts_has_lost_no_time(tmp_path: Path) -> None:
+def test_a_client_that_connects_after_a_pause_of_accepting_loses_no_lifetime(tmp_path: Path) -> None:
     dispatcher = SocketDispatcher(tmp_path)
     try:
         dispatcher.start_until_ready().skip_opening_period()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: what it answers, and how it ends."""
+"""The simulator's adapter as a process: its output and its exit status."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     "invariants": {"start_capacity": 0.3, "tip_multiple": 2, "fall_ns": 2e9, "warm_after_ns": 9e9},
 }  # fmt: skip
 ROUTE = {"endpoint": "e1", "dc": "z", "health": "up", "owner_no": 5, "generation_hw": "any", "weight": 9}
-MAIL = {"op_id": "t/a", "band": "bulk", "expires_in_ns": 9000000000, "addressee_no": 5}
-BORN: list[object] = [
+MESSAGE = {"op_id": "t/a", "band": "bulk", "expires_in_ns": 9000000000, "addressee_no": 5}
+START_EVENTS: list[object] = [
     {"born": {"dispatcher_id": 3, "rng_seed": 1, "profile_data": PROFILE}},
     {"directory": {"slot": 0, "records": [ROUTE]}},
     {"view": {"dispatcher_id": 3, "slot": 0, "generation": 1, "form": "restored"}},
-    {"arrival": {"dispatcher_id": 3, **MAIL}},
+    {"arrival": {"dispatcher_id": 3, **MESSAGE}},
 ]
 
 
@@ -33,20 +33,20 @@
     return [{"batch": {"at_time_ns": round(at * 1e9)}}, *events, {"flush": {}}]
 
 
-def test_a_mail_is_sent_and_events_for_one_that_ended_are_ignored() -> None:
+def test_a_message_is_sent_and_events_for_a_finished_one_are_ignored() -> None:
     ended = {"dispatcher_id": 3, "op_id": "t/a", "shot": 0, "endpoint": "e1", "ending": "ok", "closed": True}
     outcome = {"attempt_end": {**ended, "latency_ns": 5000000, "hold_ms": None, "stats": None}}
-    done = run(*batch(7, *BORN), *batch(8, outcome), *batch(9, outcome), *batch(10))
+    done = run(*batch(7, *START_EVENTS), *batch(8, outcome), *batch(9, outcome), *batch(10))
     names = [next(iter(json.loads(line))) for line in done.stdout.splitlines()]
     assert names == ["observe", "dispatch", "remind", "next", "remind", "next", "next", "next"]
     assert done.returncode == 0
 
 
-def test_what_is_not_the_wire_ends_it_with_a_plain_message() -> None:
+def test_malformed_input_ends_the_process_with_an_error_message() -> None:
     strange = {"sneeze": {"dispatcher_id": 3}}
-    cut = batch(7, *BORN)[:-1]
+    cut = batch(7, *START_EVENTS)[:-1]
     headless: list[object] = [{"flush": {}}]
-    bad: list[list[object]] = [["{"], batch(7, *BORN, strange), batch(7, strange), headless, cut]
+    bad: list[list[object]] = [["{"], batch(7, *START_EVENTS, strange), batch(7, strange), headless, cut]
     for lines in bad:
         done = run(*lines)
         assert done.returncode == 2
