--- a/tests/test_peer_spools.py
+++ b/tests/test_peer_spools.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from dock import Quay
+from drivers import InMemoryDispatcher
 
 from laureldock.core.messages import StoredMessage
 from laureldock.core.peer_view import RouteRecord
@@ -144,17 +144,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An unreadable peer once counted as having nothing pending. -BUSY is harmless; nothing is sent."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.shares_listening_socket = True
-    beside = spool(quay.state)
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.core.shares_listening_socket = True
+    beside = spool(dispatcher.folder)
     with monkeypatch.context() as failing:
         failing.setattr(PeerSpool, "read", refuse)
-        quay.put(quay.client(), "m1", "order", "key")
-        assert quay.lines[-1].endswith("-BUSY"), quay.lines
-        assert quay.dispatcher.counters["refused: other processes cannot be read"] == 1
-    quay.after(0.2)
-    quay.put(quay.client(), "m2", "order", "key")
-    assert any("X-Call-Id: m2" in line for line in quay.lines), quay.lines
+        dispatcher.put(dispatcher.connect_client(), "m1", "order", "key")
+        assert dispatcher.lines[-1].endswith("-BUSY"), dispatcher.lines
+        assert dispatcher.core.counters["refused: other processes cannot be read"] == 1
+    dispatcher.advance(0.2)
+    dispatcher.put(dispatcher.connect_client(), "m2", "order", "key")
+    assert any("X-Call-Id: m2" in line for line in dispatcher.lines), dispatcher.lines
     beside.close()
 
 
@@ -162,51 +162,53 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A client whose connection broke repeats its request, and may reach the other process."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.shares_listening_socket = True
-    beside = spool(quay.state)
-    end = quay.dispatcher.now() + 5
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.core.shares_listening_socket = True
+    beside = spool(dispatcher.folder)
+    end = dispatcher.core.now() + 5
     assert beside.accept(StoredMessage(b"m1", None, "charge", "", b"", 7, end, b"body"))
-    quay.put(quay.client(), "m1", "charge")
-    assert "client" not in quay.lines[-1], quay.lines  # it gives up before it would be told of the failure
-    quay.after(0.7)
-    assert quay.lines[-1].endswith("-ERR"), quay.lines
+    dispatcher.put(dispatcher.connect_client(), "m1", "charge")
+    assert "client" not in dispatcher.lines[-1], (
+        dispatcher.lines
+    )  # it gives up before it would be told of the failure
+    dispatcher.advance(0.7)
+    assert dispatcher.lines[-1].endswith("-ERR"), dispatcher.lines
     beside.close()  # that process ends: this one takes over the message, and accepts its repeat
-    quay.put(quay.client(), "m1", "charge")
-    assert any(line.endswith("-> client: +OK") for line in quay.lines), quay.lines
-    quay.after(0.2)
-    assert sum("X-Call-Id: m1" in line for line in quay.lines) == 1
+    dispatcher.put(dispatcher.connect_client(), "m1", "charge")
+    assert any(line.endswith("-> client: +OK") for line in dispatcher.lines), dispatcher.lines
+    dispatcher.advance(0.2)
+    assert sum("X-Call-Id: m1" in line for line in dispatcher.lines) == 1
 
 
 def test_sockets_and_disk_are_shared_while_a_peer_process_runs(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Once the next process kept half of the limits for good, and the old one all of them until its stop."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.shares_listening_socket = True
-    store: Any = quay.dispatcher.store
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.core.shares_listening_socket = True
+    store: Any = dispatcher.core.store
     alone = (
-        quay.assembly.room.max_sockets,
-        quay.front.max_connections,
-        quay.front.max_idle,
+        dispatcher.assembly.room.max_sockets,
+        dispatcher.front.max_connections,
+        dispatcher.front.max_idle,
         store.max_pending_bytes,
     )
-    beside = spool(quay.state)
-    assert quay.dispatcher.peers.read()
+    beside = spool(dispatcher.folder)
+    assert dispatcher.core.peers.read()
     shared = (
-        quay.assembly.room.max_sockets,
-        quay.front.max_connections,
-        quay.front.max_idle,
+        dispatcher.assembly.room.max_sockets,
+        dispatcher.front.max_connections,
+        dispatcher.front.max_idle,
         store.max_pending_bytes,
     )
     assert all(each <= before / 2 for each, before in zip(shared, alone, strict=True))
     beside.close()
-    quay.dispatcher.recovery.adopt()
-    assert quay.dispatcher.peers.read()
+    dispatcher.core.recovery.adopt()
+    assert dispatcher.core.peers.read()
     assert alone == (
-        quay.assembly.room.max_sockets,
-        quay.front.max_connections,
-        quay.front.max_idle,
+        dispatcher.assembly.room.max_sockets,
+        dispatcher.front.max_connections,
+        dispatcher.front.max_idle,
         store.max_pending_bytes,
     )
 
@@ -250,21 +252,21 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Messages that were taken over come later in the file, although they were accepted earlier."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.dispatcher.store.close()  # type: ignore[attr-defined]
-    now = quay.dispatcher.now()
-    store = spool(quay.state)
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.core.store.close()  # type: ignore[attr-defined]
+    now = dispatcher.core.now()
+    store = spool(dispatcher.folder)
     for name, accepted_at in (("second", now - 1.0), ("first", now - 2.0), ("third", now - 0.5)):
         stored = StoredMessage(name.encode(), "key", "order", "x", b"", 7, now + 9, b"hello")
         stored.accepted_at = accepted_at
         assert store.accept(stored)
     store.close()
-    quay.start()
+    dispatcher.start()
     for name in ("first", "second", "third"):
-        calls = [line for line in quay.lines if "POST /hook" in line]
+        calls = [line for line in dispatcher.lines if "POST /hook" in line]
         assert f"X-Call-Id: {name} " in calls[-1], calls
-        quay.answer("1", "200 OK")
-    assert sum("POST /hook" in line for line in quay.lines) == 3
+        dispatcher.respond("1", "200 OK")
+    assert sum("POST /hook" in line for line in dispatcher.lines) == 3
 
 
 def test_messages_in_a_file_of_an_older_release_count_as_accepted_when_read(tmp_path: Path) -> None:
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -15,7 +15,7 @@
 
 import pytest
 import structlog
-from dock import Quay
+from drivers import InMemoryDispatcher
 from pytest import approx
 
 from laureldock.core.messages import StoredMessage
@@ -39,23 +39,25 @@
         calls.remove()
 
 
-def kill(quay: Quay) -> None:
+def kill(dispatcher: InMemoryDispatcher) -> None:
     """End the process as by SIGKILL: its timers and its lock are gone, its folder stays."""
-    store: Any = quay.dispatcher.store
+    store: Any = dispatcher.core.store
     store.close()
-    timers: Any = quay.reactor.getDelayedCalls()
+    timers: Any = dispatcher.reactor.getDelayedCalls()
     for timer in list(timers):
         timer.cancel()
 
 
-def hooks(quay: Quay) -> list[str]:
+def hooks(dispatcher: InMemoryDispatcher) -> list[str]:
     """Names of the messages that were sent to receivers, in order."""
-    return [line.partition("X-Call-Id: ")[2].split(" ")[0] for line in quay.lines if "POST /hook" in line]
+    return [
+        line.partition("X-Call-Id: ")[2].split(" ")[0] for line in dispatcher.lines if "POST /hook" in line
+    ]
 
 
-def notices(quay: Quay) -> list[str]:
+def notices(dispatcher: InMemoryDispatcher) -> list[str]:
     """Names of the messages that ended by a notice, in order."""
-    posts = [line for line in quay.lines if "POST /v1/notices" in line]
+    posts = [line for line in dispatcher.lines if "POST /v1/notices" in line]
     return [part.split('"')[3] for line in posts for part in line.split(" | ") if '"message"' in part]
 
 
@@ -66,20 +68,22 @@
     for number, step in enumerate((HOUR, -HOUR)):
         folder = tmp_path / str(number)
         folder.mkdir()
-        quay = Quay(folder, monkeypatch)
-        quay.late = {"1"}
-        quay.put(quay.client(), "m1", "charge")
-        kill(quay)
-        monkeypatch.setattr("time.time", lambda quay=quay, step=step: 1e9 + quay.reactor.seconds() + step)
-        quay.lines.clear()
-        quay.start()
-        quay.after(0.5)
-        assert not notices(quay), step
-        quay.after(9.0)
-        assert notices(quay) == ["m1"], step
-        quay.late = set()
-        quay.after(1.0)
-        assert not hooks(quay), step
+        dispatcher = InMemoryDispatcher(folder, monkeypatch)
+        dispatcher.not_connecting = {"1"}
+        dispatcher.put(dispatcher.connect_client(), "m1", "charge")
+        kill(dispatcher)
+        monkeypatch.setattr(
+            "time.time", lambda dispatcher=dispatcher, step=step: 1e9 + dispatcher.reactor.seconds() + step
+        )
+        dispatcher.lines.clear()
+        dispatcher.start()
+        dispatcher.advance(0.5)
+        assert not notices(dispatcher), step
+        dispatcher.advance(9.0)
+        assert notices(dispatcher) == ["m1"], step
+        dispatcher.not_connecting = set()
+        dispatcher.advance(1.0)
+        assert not hooks(dispatcher), step
 
 
 def test_messages_refused_while_writes_fail_never_run_nor_end_later(
@@ -89,29 +93,29 @@
     for seed in range(12):
         folder = tmp_path / str(seed)
         folder.mkdir()
-        quay = Quay(folder, monkeypatch)
-        quay.late = {"1"}
+        dispatcher = InMemoryDispatcher(folder, monkeypatch)
+        dispatcher.not_connecting = {"1"}
         replies = {}
-        with failing(quay.state, Fault.DISK_ERROR, seed, 0.5):
+        with failing(dispatcher.folder, Fault.DISK_ERROR, seed, 0.5):
             for number in range(140):
-                client = quay.client(f"client-{number}")
-                quay.put(client, f"m{number:03}", "charge", left=3000)
-                lines = [line for line in quay.lines if f"client-{number}:" in line]
+                client = dispatcher.connect_client(f"client-{number}")
+                dispatcher.put(client, f"m{number:03}", "charge", lifetime=3000)
+                lines = [line for line in dispatcher.lines if f"client-{number}:" in line]
                 replies[f"m{number:03}"] = lines[-1].split()[-1] if lines else ""
-            quay.after(0.2)
-        kill(quay)
-        ended = notices(quay)
-        quay.late = set()
-        quay.start()
+            dispatcher.advance(0.2)
+        kill(dispatcher)
+        ended = notices(dispatcher)
+        dispatcher.not_connecting = set()
+        dispatcher.start()
         for _ in range(80):
-            quay.after(0.05)
-            for pipe in list(quay.pipes):
-                if pipe.name == "1" and pipe.asked:
-                    quay.answer("1", "200 OK")
+            dispatcher.advance(0.05)
+            for connection in list(dispatcher.connections):
+                if connection.name == "1" and connection.awaits_response:
+                    dispatcher.respond("1", "200 OK")
         refused = [name for name, word in replies.items() if word == "-BUSY" or word.isdigit()]
         accepted = [name for name, word in replies.items() if word == "+OK"]
         assert refused and accepted
-        ran, ends = hooks(quay), [*hooks(quay), *notices(quay)]
+        ran, ends = hooks(dispatcher), [*hooks(dispatcher), *notices(dispatcher)]
         assert not set(refused) & {*ran, *ends}, (seed, "refused with BUSY, and run or ended all the same")
         assert not set(ended) & set(ran), (seed, "ended by a notice, and run by the next process")
         assert sorted(ends) == sorted(accepted), (seed, "not one end for each accepted message")
@@ -241,16 +245,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With nothing queued, a retry wrote nothing and counted as success, and each attempt failed again."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.late = {"1"}
-    quay.put(quay.client(), "m1")
-    with failing(quay.state, Fault.DISK_ERROR):
-        quay.late = set()
-        quay.after(2.0)
-        assert quay.dispatcher.record_keeping.failing
-        assert quay.dispatcher.counters["connects"] == 1
-    quay.after(0.1)
-    assert not quay.dispatcher.record_keeping.failing and hooks(quay) == ["m1"]
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.not_connecting = {"1"}
+    dispatcher.put(dispatcher.connect_client(), "m1")
+    with failing(dispatcher.folder, Fault.DISK_ERROR):
+        dispatcher.not_connecting = set()
+        dispatcher.advance(2.0)
+        assert dispatcher.core.record_keeping.failing
+        assert dispatcher.core.counters["connects"] == 1
+    dispatcher.advance(0.1)
+    assert not dispatcher.core.record_keeping.failing and hooks(dispatcher) == ["m1"]
 
 
 def test_two_processes_of_one_dispatcher_do_not_overwrite_lines(tmp_path: Path) -> None:
@@ -271,16 +275,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The process once ended with the record unwritten, and the next process sent the message again."""
-    quay = Quay(tmp_path, monkeypatch)
-    quay.put(quay.client(), "m1", "order", "key")
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.put(dispatcher.connect_client(), "m1", "order", "key")
     stopped: list[None] = []
-    with failing(quay.state, Fault.DISK_ERROR):
-        quay.answer("1", "200 OK")
-        quay.assembly.stop().addCallback(stopped.append)
-        quay.after(2.0)
-        assert not stopped and quay.dispatcher.store.has_unwritten
-    quay.after(0.2)
-    assert stopped and not quay.dispatcher.store.pending
-    quay.start()
-    quay.after(1.0)
-    assert hooks(quay) == ["m1"]
+    with failing(dispatcher.folder, Fault.DISK_ERROR):
+        dispatcher.respond("1", "200 OK")
+        dispatcher.assembly.stop().addCallback(stopped.append)
+        dispatcher.advance(2.0)
+        assert not stopped and dispatcher.core.store.has_unwritten
+    dispatcher.advance(0.2)
+    assert stopped and not dispatcher.core.store.pending
+    dispatcher.start()
+    dispatcher.advance(1.0)
+    assert hooks(dispatcher) == ["m1"]
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -1,4 +1,4 @@
-"""What came in while the process was busy is older than its reading."""
+"""The lifetime of a message runs from its arrival, also while the process is too busy to read it."""
 
 from __future__ import annotations
 
@@ -10,71 +10,76 @@
 from typing import Any
 
 import pytest
-from dock import Quay
-from shore import Shore
+from drivers import InMemoryDispatcher
+from socket_dispatcher import SocketDispatcher
 
 from laureldock.sockets.reactor import LISTEN_SETTLE_TIME, MonotonicReactor
 
 
-class Reading:
-    """One end of a pair of sockets, read by the reactor."""
+class ReadingSocket:
+    """One end of a socket pair, read by the reactor; notes the age of what it reads."""
 
     def __init__(self, reactor: MonotonicReactor) -> None:
         self.reactor, self.ages = reactor, list[float]()
-        self.far, self.near = socket.socketpair()
+        self.far_end, self.near_end = socket.socketpair()
 
     def fileno(self) -> int:
-        return self.near.fileno()
+        return self.near_end.fileno()
 
     def doRead(self) -> None:  # noqa: N802
-        self.near.recv(99)
+        self.near_end.recv(99)
         self.ages.append(self.reactor.max_unread_time())
 
     def logPrefix(self) -> str:  # noqa: N802
         return "reading"
 
 
-def test_what_lay_while_the_process_was_busy_is_known_to_be_old() -> None:
+def test_bytes_received_while_the_process_was_busy_have_an_age() -> None:
     reactor: Any = MonotonicReactor()
-    reading: Any = Reading(reactor)
+    reading: Any = ReadingSocket(reactor)
     reactor.addReader(reading)
-    reactor.doIteration(0)  # at rest: nothing has come
-    time.sleep(0.2)  # busy, while something comes
-    reading.far.send(b"x")
+    reactor.doIteration(0)  # nothing has been received
+    time.sleep(0.2)  # busy while bytes arrive
+    reading.far_end.send(b"x")
     reactor.doIteration(0)
     assert reading.ages.pop() >= 0.2
-    reactor.doIteration(0)  # all is read
-    reading.far.send(b"x")
+    reactor.doIteration(0)  # nothing is unread any more
+    reading.far_end.send(b"x")
     reactor.doIteration(0)
     assert reading.ages.pop() < 0.15
-    reactor.listening_at = reactor.seconds()  # clients refused before come with lifetimes that run already
-    reading.far.send(b"x")
+    # Clients that were refused before then come with lifetimes that are running already.
+    reactor.listening_at = reactor.seconds()
+    reading.far_end.send(b"x")
     reactor.doIteration(0)
     assert reading.ages.pop() > 10 * LISTEN_SETTLE_TIME
     reactor.removeReader(reading)
 
 
-def test_a_mail_that_lay_unread_ends_in_its_own_time(tmp_path: Path, monkeypatch: Any) -> None:
-    quay = Quay(tmp_path, monkeypatch)
-    quay.late.add("1")  # the receiver never comes up
-    quay.front.max_unread_time = lambda: 0.3
-    client = quay.client()
-    quay.put(client, "m", left=1000)
-    quay.after(0.85)
-    assert quay.assembly.core.counters["deferred"] == 1, quay.lines
+def test_the_lifetime_of_an_unread_message_runs_from_its_arrival(tmp_path: Path, monkeypatch: Any) -> None:
+    """Its request waited unread for 0.3 s, which count against its lifetime of one second."""
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.not_connecting.add("1")  # no connection to the receiver is established
+    dispatcher.front.max_unread_time = lambda: 0.3
+    client = dispatcher.connect_client()
+    dispatcher.put(client, "m", lifetime=1000)
+    dispatcher.advance(0.85)
+    assert dispatcher.assembly.core.counters["deferred"] == 1, dispatcher.lines
 
 
-def test_a_mail_refused_before_the_door_was_open_ends_sooner(tmp_path: Path, monkeypatch: Any) -> None:
-    quay = Quay(tmp_path, monkeypatch)
-    quay.late.add("1")
-    quay.front.max_unread_time = lambda: inf
-    quay.put(quay.client(), "m", left=1300)
-    quay.after(0.65)
-    assert quay.assembly.core.counters["deferred"] == 1, quay.lines
+def test_a_message_that_may_have_been_refused_before_startup_ends_sooner(
+    tmp_path: Path, monkeypatch: Any
+) -> None:
+    """Its client may have been refused before the listener was open, for an unknown part of its lifetime."""
+    dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
+    dispatcher.not_connecting.add("1")
+    dispatcher.front.max_unread_time = lambda: inf
+    dispatcher.put(dispatcher.connect_client(), "m", lifetime=1300)
+    dispatcher.advance(0.65)
+    assert dispatcher.assembly.core.counters["deferred"] == 1, dispatcher.lines
 
 
 class FailingAccept:
-    """A listening socket that accepts nobody."""
+    """A listening socket whose accept fails."""
 
     def __init__(self, listening: socket.socket) -> None:
         self.listening = listening
@@ -87,46 +92,48 @@
 
 
 @pytest.mark.parametrize("cause", ["accepts fail", "no room"])
-def test_a_message_that_waited_to_be_accepted_ends_in_its_own_time(tmp_path: Path, cause: str) -> None:
-    """Its client had connected and sent it; the lifetime was counted from when it was read."""
-    shore = Shore(tmp_path)
+def test_the_lifetime_of_a_message_runs_while_its_connection_waits_to_be_accepted(
+    tmp_path: Path, cause: str
+) -> None:
+    """Its client had connected and sent it; the lifetime was once counted from when it was read."""
+    dispatcher = SocketDispatcher(tmp_path)
     try:
-        shore.ready().settle()
-        port: Any = shore.front.port
+        dispatcher.start_until_ready().skip_opening_period()
+        port: Any = dispatcher.front.port
         listening = port.socket
         if cause == "accepts fail":
             port.socket = FailingAccept(listening)
         else:
-            shore.front.set_accepting_paused(True)
-        client = shore.client(ping=False)
-        client.send(shore.put("a", left=1500))
+            dispatcher.front.set_accepting_paused(True)
+        client = dispatcher.connect_client(ping=False)
+        client.send(dispatcher.put_request("a", lifetime=1500))
         sent_at = time.monotonic()
-        shore.spend(0.35)
+        dispatcher.step_for(0.35)
         port.socket = listening
         if cause == "no room":
-            shore.front.set_accepting_paused(False)
-        shore.until(lambda: b"a" in shore.core.messages_by_name)
-        assert shore.core.messages_by_name[b"a"].expires_at <= sent_at + 1.52
-        shore.until(lambda: client.pull() == b"+OK\r\n")
-        client.send(shore.put("b", left=1500))  # no time was lost before this one
+            dispatcher.front.set_accepting_paused(False)
+        dispatcher.step_until(lambda: b"a" in dispatcher.core.messages_by_name)
+        assert dispatcher.core.messages_by_name[b"a"].expires_at <= sent_at + 1.52
+        dispatcher.step_until(lambda: client.receive() == b"+OK\r\n")
+        client.send(dispatcher.put_request("b", lifetime=1500))  # this one did not wait
         sent_at = time.monotonic()
-        shore.until(lambda: b"b" in shore.core.messages_by_name)
-        assert sent_at + 1.4 <= shore.core.messages_by_name[b"b"].expires_at <= sent_at + 1.52
+        dispatcher.step_until(lambda: b"b" in dispatcher.core.messages_by_name)
+        assert sent_at + 1.4 <= dispatcher.core.messages_by_name[b"b"].expires_at <= sent_at + 1.52
     finally:
-        shore.end()
+        dispatcher.close()
 
 
-def test_who_connects_after_a_moment_without_accepts_has_lost_no_time(tmp_path: Path) -> None:
-    shore = Shore(tmp_path)
+def test_a_client_that_connects_after_a_pause_of_accepting_loses_no_lifetime(tmp_path: Path) -> None:
+    dispatcher = SocketDispatcher(tmp_path)
     try:
-        shore.ready().settle()
-        shore.front.set_accepting_paused(True)
-        shore.spend(0.3)
-        shore.front.set_accepting_paused(False)
-        client = shore.client(ping=False)
-        client.send(shore.put("a", left=1500))
+        dispatcher.start_until_ready().skip_opening_period()
+        dispatcher.front.set_accepting_paused(True)
+        dispatcher.step_for(0.3)
+        dispatcher.front.set_accepting_paused(False)
+        client = dispatcher.connect_client(ping=False)
+        client.send(dispatcher.put_request("a", lifetime=1500))
         sent_at = time.monotonic()
-        shore.until(lambda: b"a" in shore.core.messages_by_name)
-        assert shore.core.messages_by_name[b"a"].expires_at >= sent_at + 1.4
+        dispatcher.step_until(lambda: b"a" in dispatcher.core.messages_by_name)
+        assert dispatcher.core.messages_by_name[b"a"].expires_at >= sent_at + 1.4
     finally:
-        shore.end()
+        dispatcher.close()
