--- a/laureldock/cli/rehearse.py
+++ b/laureldock/cli/rehearse.py
@@ -33,7 +33,7 @@
     if ctx.invoked_subcommand:
         return
     try:
-        from laureldock.rehearsal.play import Script, play, table
+        from laureldock.rehearsal.scripted_run import Script, play, table
     except ImportError as fault:
         hint = "pip install 'laureldock[rehearse]'"
         raise click.ClickException(f"{fault}; the rehearsal needs its extra: {hint}") from None
@@ -140,8 +140,8 @@
     calls that fail; a wall clock that is stepped. Exit 1 if a rule or an invariant was broken for a message.
     """
     try:
-        from laureldock.rehearsal.soak.findings import Findings
         from laureldock.rehearsal.soak.run import soak as play
+        from laureldock.rehearsal.soak.soak_result import Findings
     except ImportError as fault:
         hint = "pip install 'laureldock[rehearse]'"
         raise click.ClickException(f"{fault}; the rehearsal needs its extra: {hint}") from None
--- a/laureldock/rehearsal/fleet/configuration.py
+++ b/laureldock/rehearsal/fleet/configuration.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from laureldock.rehearsal.standins import Receiver
+from laureldock.rehearsal.stub_receivers import Receiver
 
 FLEET_PORT, FRONT_PORT, OPERATORS_PORT = 7946, 6390, 9100
 LIFETIME = 8.0  # seconds, of each message
--- a/laureldock/rehearsal/fleet/message_load.py
+++ b/laureldock/rehearsal/fleet/message_load.py
@@ -18,10 +18,10 @@
 from redis.asyncio.retry import Retry
 from redis.backoff import NoBackoff
 
-from laureldock.rehearsal.account import BUSY, FAILED, GONE, TAKEN, Account, Handed
 from laureldock.rehearsal.fleet.configuration import FRONT_PORT, LIFETIME
 from laureldock.rehearsal.fleet.member_process import MemberProcess
-from laureldock.rehearsal.play import CLASSES, new_lines
+from laureldock.rehearsal.rule_checks import BUSY, FAILED, GONE, TAKEN, Account, Handed
+from laureldock.rehearsal.scripted_run import CLASSES, new_lines
 
 CLIENT_TIMEOUT = 5  # seconds
 ORDERING_KEYS = 6  # number of ordering keys
--- a/laureldock/rehearsal/fleet/processes.py
+++ b/laureldock/rehearsal/fleet/processes.py
@@ -18,8 +18,6 @@
 from pathlib import Path
 from typing import Any
 
-from laureldock.rehearsal.account import Account
-from laureldock.rehearsal.account import judge as judge_rules
 from laureldock.rehearsal.fleet.configuration import (
     FLEET_PORT,
     LIFETIME,
@@ -32,7 +30,9 @@
 from laureldock.rehearsal.fleet.relay import Relay, RelayNetwork
 from laureldock.rehearsal.fleet.script import Pair, Script, Step, directed_pairs
 from laureldock.rehearsal.fleet.verdict import ObservedEvent, Verdict, judge
-from laureldock.rehearsal.standins import Receiver
+from laureldock.rehearsal.rule_checks import Account
+from laureldock.rehearsal.rule_checks import judge as judge_rules
+from laureldock.rehearsal.stub_receivers import Receiver
 
 EVENT_PREFIX = "fleet: "  # of the log events of a view
 OBSERVATION_INTERVAL = 0.05  # seconds
--- a/laureldock/rehearsal/play.py
+++ b/laureldock/rehearsal/scripted_run.py
@@ -23,8 +23,8 @@
 from redis.asyncio.retry import Retry
 from redis.backoff import NoBackoff
 
-from laureldock.rehearsal.account import BUSY, FAILED, GONE, TAKEN, Account, Handed, Told, Verdict, judge
-from laureldock.rehearsal.standins import Fault, Receiver
+from laureldock.rehearsal.rule_checks import BUSY, FAILED, GONE, TAKEN, Account, Handed, Told, Verdict, judge
+from laureldock.rehearsal.stub_receivers import Fault, Receiver
 
 CLASSES = {"notice": "redeliverable", "order": "tagged", "payment": "once-only"}
 LIFETIME = 8.0  # of the example's classes
--- a/laureldock/rehearsal/soak/clients.py
+++ b/laureldock/rehearsal/soak/clients.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from laureldock.rehearsal.account import BUSY, FAILED, GONE, TAKEN, Account, Handed
-from laureldock.rehearsal.play import CLASSES, LIFETIME
+from laureldock.rehearsal.rule_checks import BUSY, FAILED, GONE, TAKEN, Account, Handed
+from laureldock.rehearsal.scripted_run import CLASSES, LIFETIME
+from laureldock.rehearsal.soak.faults import Client
 from laureldock.rehearsal.soak.relay import reset
-from laureldock.rehearsal.soak.troubles import Client
 
 ANSWER_TIMEOUT = 0.4  # seconds, by the platform's protocol
 Address = tuple[str, int]
--- a/laureldock/rehearsal/soak/discovery.py
+++ b/laureldock/rehearsal/soak/discovery.py
@@ -16,7 +16,7 @@
 
 import h11
 
-from laureldock.rehearsal.soak.troubles import Listing
+from laureldock.rehearsal.soak.faults import Listing
 
 READY, DRAINING = "Ready", "Terminating"
 NOTICES_PATH = "/v1/notices"
--- a/laureldock/rehearsal/soak/soaked.py
+++ b/laureldock/rehearsal/soak/dispatcher_soak.py
@@ -12,21 +12,21 @@
 from pathlib import Path
 from typing import Any
 
-from laureldock.rehearsal.account import Account, Told
-from laureldock.rehearsal.play import LIFETIME, RECEIVERS, free_port, new_lines, write_example
-from laureldock.rehearsal.soak import troubles
+from laureldock.rehearsal.rule_checks import Account, Told
+from laureldock.rehearsal.scripted_run import LIFETIME, RECEIVERS, free_port, new_lines, write_example
+from laureldock.rehearsal.soak import faults as troubles
 from laureldock.rehearsal.soak.clients import Load, misbehave
 from laureldock.rehearsal.soak.discovery import DRAINING, READY, Discovery, Host
 from laureldock.rehearsal.soak.dispatcher_process import Address
-from laureldock.rehearsal.soak.findings import Findings
-from laureldock.rehearsal.soak.judgement import judge_play
+from laureldock.rehearsal.soak.evaluation import judge_play
+from laureldock.rehearsal.soak.faults import Signal, Trouble
 from laureldock.rehearsal.soak.platform import write_configuration
 from laureldock.rehearsal.soak.process_group import ProcessGroup
 from laureldock.rehearsal.soak.relay import Relay
+from laureldock.rehearsal.soak.soak_result import Findings
 from laureldock.rehearsal.soak.system_calls import Fault, Window
-from laureldock.rehearsal.soak.troubles import Signal, Trouble
-from laureldock.rehearsal.standins import Fault as ReceiverFault
-from laureldock.rehearsal.standins import Receiver
+from laureldock.rehearsal.stub_receivers import Fault as ReceiverFault
+from laureldock.rehearsal.stub_receivers import Receiver
 
 PAUSE_TIME = 0.15  # seconds for which a process is held up
 RESUME_TIME = 0.02  # seconds until it has read what came meanwhile
--- a/laureldock/rehearsal/soak/judgement.py
+++ b/laureldock/rehearsal/soak/evaluation.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-from laureldock.rehearsal.account import TAKEN, Account, judge
-from laureldock.rehearsal.soak.findings import Findings
+from laureldock.rehearsal.rule_checks import TAKEN, Account, judge
+from laureldock.rehearsal.soak.faults import Trouble
 from laureldock.rehearsal.soak.relay import Relay
+from laureldock.rehearsal.soak.soak_result import Findings
 from laureldock.rehearsal.soak.system_calls import Fault
-from laureldock.rehearsal.soak.troubles import Trouble
 
 
 def judge_play(
--- a/laureldock/rehearsal/soak/troubles.py
+++ b/laureldock/rehearsal/soak/faults.py
@@ -34,7 +34,7 @@
 
 
 class Receiver(StrEnum):
-    """What a stand-in receiver does (`standins.Fault`)."""
+    """What a stand-in receiver does (`stub_receivers.Fault`)."""
 
     REFUSE = "refuse"
     SILENT = "silent"
--- a/laureldock/rehearsal/soak/platform.py
+++ b/laureldock/rehearsal/soak/platform.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from laureldock.rehearsal.play import CLASSES, LIFETIME
+from laureldock.rehearsal.scripted_run import CLASSES, LIFETIME
 from laureldock.rehearsal.soak.dispatcher_process import Address
 
 NANOSECONDS = 1e9
--- a/laureldock/rehearsal/soak/process_group.py
+++ b/laureldock/rehearsal/soak/process_group.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 from typing import Any
 
-from laureldock.rehearsal.account import Account, Restart
-from laureldock.rehearsal.play import free_port
+from laureldock.rehearsal.rule_checks import Account, Restart
+from laureldock.rehearsal.scripted_run import free_port
 from laureldock.rehearsal.soak.dispatcher_process import Address, DispatcherProcess
 from laureldock.rehearsal.soak.faulty_process import FaultPlan
-from laureldock.rehearsal.soak.findings import Findings
 from laureldock.rehearsal.soak.platform import environment
+from laureldock.rehearsal.soak.soak_result import Findings
 from laureldock.rehearsal.soak.system_calls import Window
 
 DOWN_TIME = 0.6  # seconds from the end of a process to its next start
--- a/laureldock/rehearsal/soak/relay.py
+++ b/laureldock/rehearsal/soak/relay.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from laureldock.rehearsal.soak.troubles import Path
+from laureldock.rehearsal.soak.faults import Path
 
 CALL_ID = re.compile(rb"X-Call-Id: (\S+)\r\n")
 NO_LINGER = struct.pack("ii", 1, 0)  # a close resets
--- a/laureldock/rehearsal/soak/run.py
+++ b/laureldock/rehearsal/soak/run.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from laureldock.rehearsal.soak.findings import Findings
-from laureldock.rehearsal.soak.soaked import SoakedDispatcher
+from laureldock.rehearsal.soak.dispatcher_soak import SoakedDispatcher
+from laureldock.rehearsal.soak.soak_result import Findings
 
 START_GAP = 0.1  # seconds between two starts, lest all begin in one instant
 
--- a/laureldock/rehearsal/soak/findings.py
+++ b/laureldock/rehearsal/soak/soak_result.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from laureldock.rehearsal.account import Verdict
+from laureldock.rehearsal.rule_checks import Verdict
 
 
 @dataclass(slots=True)
--- a/laureldock/rehearsal/standins.py
+++ b/laureldock/rehearsal/stub_receivers.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from laureldock.rehearsal.account import Account, Call, Told
+from laureldock.rehearsal.rule_checks import Account, Call, Told
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/daemon.py
+++ b/tests/daemon.py
@@ -13,9 +13,9 @@
 
 import redis.asyncio as redis
 
-from laureldock.rehearsal.account import Account
-from laureldock.rehearsal.play import free_port
-from laureldock.rehearsal.standins import Receiver
+from laureldock.rehearsal.rule_checks import Account
+from laureldock.rehearsal.scripted_run import free_port
+from laureldock.rehearsal.stub_receivers import Receiver
 
 HEAD = """\
 name = "dock"
--- a/tests/followers.py
+++ b/tests/followers.py
@@ -16,9 +16,9 @@
 from daemon import HEAD, Daemon
 from replication_rig import MemoryController
 
-from laureldock.rehearsal.account import Account
-from laureldock.rehearsal.play import free_port
-from laureldock.rehearsal.standins import Receiver
+from laureldock.rehearsal.rule_checks import Account
+from laureldock.rehearsal.scripted_run import free_port
+from laureldock.rehearsal.stub_receivers import Receiver
 from laureldock.replication import messages
 from laureldock.replication.messages import (
     Accepted,
--- a/tests/handover.py
+++ b/tests/handover.py
@@ -16,12 +16,12 @@
 from pathlib import Path
 from typing import Any
 
-from laureldock.rehearsal.account import TAKEN, Account, Handed, judge
-from laureldock.rehearsal.play import free_port, new_lines
+from laureldock.rehearsal.rule_checks import TAKEN, Account, Handed, judge
+from laureldock.rehearsal.scripted_run import free_port, new_lines
 from laureldock.rehearsal.soak.clients import Connection, command
 from laureldock.rehearsal.soak.dispatcher_process import DispatcherProcess
 from laureldock.rehearsal.soak.process_group import UNREAD_ANSWERS
-from laureldock.rehearsal.standins import Receiver
+from laureldock.rehearsal.stub_receivers import Receiver
 
 KEY_REST = 0.3  # seconds
 LIFETIME = 8.0
--- a/tests/test_controlled.py
+++ b/tests/test_controlled.py
@@ -20,7 +20,7 @@
 from msgspec import structs
 from test_process import Process, platform
 
-from laureldock.rehearsal.play import free_port
+from laureldock.rehearsal.scripted_run import free_port
 from laureldock.replication.messages import ChangeMessage, InForce, Subscribe
 from laureldock.setup import plan
 from laureldock.setup.changes import Change, TermsEntry
--- a/tests/test_controlled_faults.py
+++ b/tests/test_controlled_faults.py
@@ -28,7 +28,7 @@
 )
 from test_controlled import FRESH_CLASS, NAMES, counted, refused_at_one, run, until
 
-from laureldock.rehearsal.play import free_port
+from laureldock.rehearsal.scripted_run import free_port
 from laureldock.setup import plan
 from laureldock.setup.changes import Change, EndpointEntry
 from laureldock.setup.units import Address
--- a/tests/test_handover_chains.py
+++ b/tests/test_handover_chains.py
@@ -11,7 +11,7 @@
 import pytest
 from handover import HandOver, Served, hand_over, run
 
-from laureldock.rehearsal.account import TAKEN
+from laureldock.rehearsal.rule_checks import TAKEN
 
 KEYS = [f"k{number}" for number in range(12)]
 RECEIVERS = {"n1": "north", "s1": "south", "e1": "east"}
--- a/tests/test_handover_rules.py
+++ b/tests/test_handover_rules.py
@@ -10,8 +10,8 @@
 import pytest
 from handover import KEY_REST, hand_over, run
 
-from laureldock.rehearsal.account import TAKEN
-from laureldock.rehearsal.standins import Fault
+from laureldock.rehearsal.rule_checks import TAKEN
+from laureldock.rehearsal.stub_receivers import Fault
 
 
 def test_a_message_accepted_right_after_one_of_its_key_by_the_other_process_waits(tmp_path: Path) -> None:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from laureldock.rehearsal.account import BUSY, TAKEN, Account, Call, Handed, Restart, Told, judge
+from laureldock.rehearsal.rule_checks import BUSY, TAKEN, Account, Call, Handed, Restart, Told, judge
 
 
 def mail(
--- a/tests/test_restart_cold.py
+++ b/tests/test_restart_cold.py
@@ -9,8 +9,8 @@
 import pytest
 from daemon import HEAD, Daemon
 
-from laureldock.rehearsal.account import judge
-from laureldock.rehearsal.standins import Fault
+from laureldock.rehearsal.rule_checks import judge
+from laureldock.rehearsal.stub_receivers import Fault
 
 RETURNING = """\
 rates = "nominal"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from laureldock.rehearsal.play import RECEIVERS
-from laureldock.rehearsal.soak import troubles
-from laureldock.rehearsal.soak.findings import Findings
+from laureldock.rehearsal.scripted_run import RECEIVERS
+from laureldock.rehearsal.soak import faults as troubles
 from laureldock.rehearsal.soak.run import soak
+from laureldock.rehearsal.soak.soak_result import Findings
 from laureldock.rehearsal.soak.system_calls import Fault
 
 SEEDS = range(1, 9)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -21,7 +21,7 @@
 
 from laureldock.core.messages import StoredMessage
 from laureldock.fronts.resp import Client
-from laureldock.rehearsal.play import free_port, new_lines
+from laureldock.rehearsal.scripted_run import free_port, new_lines
 from laureldock.rehearsal.soak.faulty_process import FaultPlan
 from laureldock.rehearsal.soak.system_calls import Fault, Window
 from laureldock.stores.spool import Spool
