--- a/laureldock/cli/rehearse.py
+++ b/laureldock/cli/rehearse.py
@@ -33,22 +33,24 @@
     if ctx.invoked_subcommand:
         return
     try:
-        from laureldock.rehearsal.scripted_run import Script, play, table
+        from laureldock.rehearsal.scripted_run import Script, format_table, play
     except ImportError as fault:
         hint = "pip install 'laureldock[rehearse]'"
         raise click.ClickException(f"{fault}; the rehearsal needs its extra: {hint}") from None
     with tempfile.TemporaryDirectory() as temporary:
         try:
             script = Script(seed=seed, rate=rate, kill=kill)
-            outcome = play(folder or Path(temporary), script, lambda line: click.echo(line, err=as_json))
+            result = play(folder or Path(temporary), script, lambda line: click.echo(line, err=as_json))
         except TimeoutError as fault:
             raise click.ClickException(str(fault)) from None
     if as_json:
-        rules = {each.rule: {"counted": each.counted, "broken": each.broken} for each in outcome.verdicts}
-        click.echo(json.dumps({"held": outcome.held, "rules": rules}))
+        rules = {
+            each.rule: {"counted": each.cases, "broken": each.violations} for each in result.rule_results
+        }
+        click.echo(json.dumps({"held": result.passed, "rules": rules}))
     else:
-        click.echo("\n".join(table(outcome)))
-    raise SystemExit(0 if outcome.held else 1)
+        click.echo("\n".join(format_table(result)))
+    raise SystemExit(0 if result.passed else 1)
 
 
 @command.command()
@@ -141,32 +143,35 @@
     """
     try:
         from laureldock.rehearsal.soak.run import soak as play
-        from laureldock.rehearsal.soak.soak_result import Findings
+        from laureldock.rehearsal.soak.soak_result import SoakResult
     except ImportError as fault:
         hint = "pip install 'laureldock[rehearse]'"
         raise click.ClickException(f"{fault}; the rehearsal needs its extra: {hint}") from None
 
-    def print_findings(found: Findings) -> None:
-        word = "BROKEN" if found.broken else "held"
+    def print_result(result: SoakResult) -> None:
+        word = "BROKEN" if result.failures else "held"
         click.echo(
-            f"seed {found.seed}: {word}; {found.handed_in} handed in, {found.accepted} accepted,"
-            f" {found.delivered} delivered, {found.restarts} restarts, {found.hand_overs} hand-overs,"
-            f" {len(found.troubles)} faults; stub receivers stalled for {found.held_up:.2f}s at most, at"
-            f" {found.held_up_at:.1f}s"
+            f"seed {result.seed}: {word}; {result.submitted} handed in, {result.accepted} accepted,"
+            f" {result.delivered} delivered, {result.restarts} restarts, {result.handovers} hand-overs,"
+            f" {len(result.faults)} faults; stub receivers stalled for {result.longest_stall:.2f}s at most,"
+            f" at {result.longest_stall_at:.1f}s"
         )
-        for each in found.broken:
+        for each in result.failures:
             click.echo(f"  {each}")
-        for each in [*found.stories, *found.troubles] if found.broken else []:
+        for each in [*result.message_histories, *result.faults] if result.failures else []:
             click.echo(f"    {each}")
 
     with tempfile.TemporaryDirectory() as temporary:
         seeds = range(seed, seed + dispatchers)
-        found = asyncio.run(
-            play(folder or Path(temporary), seeds, seconds, rate, print_findings, hand_over, platform)
+        results = asyncio.run(
+            play(folder or Path(temporary), seeds, seconds, rate, print_result, hand_over, platform)
         )
-    broken = [each.seed for each in found if each.broken]
-    click.echo(f"{len(found) - len(broken)} of {len(found)} held" + (f"; broken: {broken}" if broken else ""))
-    raise SystemExit(1 if broken else 0)
+    failed_seeds = [each.seed for each in results if each.failures]
+    click.echo(
+        f"{len(results) - len(failed_seeds)} of {len(results)} held"
+        + (f"; broken: {failed_seeds}" if failed_seeds else "")
+    )
+    raise SystemExit(1 if failed_seeds else 0)
 
 
 @command.command()
--- a/laureldock/rehearsal/__init__.py
+++ b/laureldock/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""A rehearsal on loopback: stand-in receivers that fail by a script, clients, and an account of the rules."""
+"""Test runs on loopback: real dispatcher processes, stub receivers with faults, clients, and rule checks."""
--- a/laureldock/rehearsal/fleet/configuration.py
+++ b/laureldock/rehearsal/fleet/configuration.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from laureldock.rehearsal.stub_receivers import Receiver
+from laureldock.rehearsal.stub_receivers import StubReceiver
 
 FLEET_PORT, FRONT_PORT, OPERATORS_PORT = 7946, 6390, 9100
 LIFETIME = 8.0  # seconds, of each message
@@ -70,7 +70,7 @@
     )
 
 
-def endpoint_table(name: str, receiver: Receiver, host: str) -> str:
+def endpoint_table(name: str, receiver: StubReceiver, host: str) -> str:
     """Return one `[[endpoint]]`: a receiver that is reached by way of `host`."""
     address = f"{host}:{receiver.port}"
     return ENDPOINT.format(name=name, destination=receiver.destination, rate=receiver.rate, address=address)
--- a/laureldock/rehearsal/fleet/message_load.py
+++ b/laureldock/rehearsal/fleet/message_load.py
@@ -20,8 +20,8 @@
 
 from laureldock.rehearsal.fleet.configuration import FRONT_PORT, LIFETIME
 from laureldock.rehearsal.fleet.member_process import MemberProcess
-from laureldock.rehearsal.rule_checks import BUSY, FAILED, GONE, TAKEN, Account, Handed
-from laureldock.rehearsal.scripted_run import CLASSES, new_lines
+from laureldock.rehearsal.rule_checks import ABANDONED, ACCEPTED, BUSY, FAILED, RunRecord, SubmittedMessage
+from laureldock.rehearsal.scripted_run import QUEUE_CLASSES, new_lines
 
 CLIENT_TIMEOUT = 5  # seconds
 ORDERING_KEYS = 6  # number of ordering keys
@@ -32,9 +32,9 @@
     """Submits messages to the members of a fleet, `rate` per second in total, and accounts for them."""
 
     def __init__(
-        self, account: Account, members: Mapping[str, MemberProcess], seed: int, rate: float
+        self, record: RunRecord, members: Mapping[str, MemberProcess], seed: int, rate: float
     ) -> None:
-        self.account, self.members, self.rate = account, members, rate
+        self.record, self.members, self.rate = record, members, rate
         self.random = random.Random(seed)
         self.submitted_to: dict[str, str] = {}  # key of the member that each message was submitted to
         self.lost_messages: set[str] = set()  # messages that were pending at a killed member
@@ -66,7 +66,7 @@
 
     def submit_random(self, running: list[MemberProcess], number: int) -> Coroutine[Any, Any, None]:
         """Draw one message at random, and submit it."""
-        queue_class = self.random.choices(list(CLASSES), [6, 2, 2])[0]
+        queue_class = self.random.choices(list(QUEUE_CLASSES), [6, 2, 2])[0]
         key = f"k{self.random.randrange(ORDERING_KEYS)}" if queue_class == "order" else ""
         # Messages of one key go to one member while it runs, since each member orders its own messages only.
         key_index = zlib.crc32(key.encode()) % len(running)
@@ -81,10 +81,10 @@
         now, name = time.time(), f"m{number:05d}"
         # Order is kept by the member that accepts the message, not across members.
         order = f"{key}@{member.key}" if key else ""
-        message = Handed(
-            name, queue_class, CLASSES[queue_class], order, destination, now, now + LIFETIME, number
+        message = SubmittedMessage(
+            name, queue_class, QUEUE_CLASSES[queue_class], order, destination, now, now + LIFETIME, number
         )
-        self.account.handed[name] = message
+        self.record.messages[name] = message
         self.submitted_to[name] = member.key
         fields = f"c={queue_class},d={round(LIFETIME * 1000)},dest={destination},k=t{name}"
         client = self.client_for(member)
@@ -94,15 +94,15 @@
         try:
             # Messages of one key are submitted one after another, each after the reply to the previous one.
             async with ordering_lock:
-                message.at = time.time()
-                message.end = message.at + LIFETIME
+                message.submitted_at = time.time()
+                message.expires_at = message.submitted_at + LIFETIME
                 reply = await client.execute_command("MSG.PUT", key or "0", name, fields, b"hello")  # type: ignore[no-untyped-call]
-            message.word = TAKEN if reply in (b"OK", "OK") else FAILED
+            message.reply = ACCEPTED if reply in (b"OK", "OK") else FAILED
         except redis.ResponseError as error:
-            message.word = BUSY if str(error).startswith("BUSY") else FAILED
+            message.reply = BUSY if str(error).startswith("BUSY") else FAILED
         except (OSError, redis.RedisError, asyncio.CancelledError):
-            message.word = GONE
-        message.answered = time.time()
+            message.reply = ABANDONED
+        message.replied_at = time.time()
 
     def client_for(self, member: MemberProcess) -> redis.Redis:
         """Return the client of a member; it connects with the first command."""
@@ -116,26 +116,26 @@
 
     def record_kill(self, member: MemberProcess) -> None:
         """Record a kill: messages pending at the member are lost, and its latest outcomes may be unknown."""
-        served = {call.mail for call in self.account.calls if call.status == 200}
+        served = {call.message for call in self.record.calls if call.status == 200}
         accepted = {name for name, member_key in self.submitted_to.items() if member_key == member.key}
         self.lost_messages |= accepted - served
         unread_since = time.time() - UNREAD_REPLY_TIME
-        recently_called = {call.mail for call in self.account.calls if call.ended > unread_since}
-        self.account.killed |= self.lost_messages | (accepted & recently_called)
+        recently_called = {call.message for call in self.record.calls if call.ended_at > unread_since}
+        self.record.pending_at_kill |= self.lost_messages | (accepted & recently_called)
 
     def excuse_lost_messages(self) -> None:
         """Expect no outcome for messages lost with a killed member, since members keep no copies of them."""
         for name in self.lost_messages:
-            if (message := self.account.handed[name]).word == TAKEN:
-                message.word = GONE
+            if (message := self.record.messages[name]).reply == ACCEPTED:
+                message.reply = ABANDONED
 
     def pending_messages(self) -> int:
         """Return the number of accepted messages that are neither served nor past their lifetime."""
         now = time.time()
-        served = {call.mail for call in self.account.calls if call.status == 200}
+        served = {call.message for call in self.record.calls if call.status == 200}
         return sum(
-            message.word == TAKEN and name not in served and now < message.end
-            for name, message in self.account.handed.items()
+            message.reply == ACCEPTED and name not in served and now < message.expires_at
+            for name, message in self.record.messages.items()
         )
 
     def read_notices(self, member: MemberProcess) -> None:
@@ -144,8 +144,8 @@
         for line in lines:
             notice = json.loads(line)
             name = notice["message"]
-            message = self.account.handed.get(name)
+            message = self.record.messages.get(name)
             if message is None:
-                self.account.strays.append(name)
+                self.record.unknown_notices.append(name)
             elif name not in self.lost_messages or not message.notices:
                 message.notices.append((time.time(), notice["outcome"]))
--- a/laureldock/rehearsal/fleet/processes.py
+++ b/laureldock/rehearsal/fleet/processes.py
@@ -30,9 +30,8 @@
 from laureldock.rehearsal.fleet.relay import Relay, RelayNetwork
 from laureldock.rehearsal.fleet.script import Pair, Script, Step, directed_pairs
 from laureldock.rehearsal.fleet.verdict import ObservedEvent, Verdict, judge
-from laureldock.rehearsal.rule_checks import Account
-from laureldock.rehearsal.rule_checks import judge as judge_rules
-from laureldock.rehearsal.stub_receivers import Receiver
+from laureldock.rehearsal.rule_checks import RunRecord, check_rules
+from laureldock.rehearsal.stub_receivers import StubReceiver
 
 EVENT_PREFIX = "fleet: "  # of the log events of a view
 OBSERVATION_INTERVAL = 0.05  # seconds
@@ -64,9 +63,9 @@
         self.with_view, self.report_progress = with_view, report_progress
         self.address_octet = address_octet or 16 + os.getpid() % 200
         self.network = RelayNetwork(seed)
-        self.account = Account()
+        self.record = RunRecord()
         self.receivers = {
-            name: Receiver(name, destination, self.account, seed + number)
+            name: StubReceiver(name, destination, self.record, seed + number)
             for number, (name, destination) in enumerate(
                 {"bank-1": "bank", "bank-2": "bank", "bakery-1": "bakery"}.items()
             )
@@ -75,7 +74,7 @@
             name: self.add_member(name, name, number)
             for number, name in enumerate(script.member_names(), start=1)
         }
-        self.message_load = MessageLoad(self.account, self.members, seed, rate)
+        self.message_load = MessageLoad(self.record, self.members, seed, rate)
         self.relays: list[Relay] = []
         self.started_at = 0.0
         self.actions: list[tuple[float, str]] = []
@@ -165,10 +164,10 @@
         verdict.events = sorted(self.events, key=lambda event: event.at)
         # Starting processes compete for the processor for as long as the scheduling delay: responses may be
         # unread or in transit meanwhile.
-        self.account.unread += 3 * self.max_lag
-        rule_verdicts = judge_rules(self.account)
-        verdict.rules = [(each.rule, each.counted, len(each.broken)) for each in rule_verdicts]
-        verdict.violations = [case for each in rule_verdicts for case in each.broken]
+        self.record.unread_time += 3 * self.max_lag
+        rule_results = check_rules(self.record)
+        verdict.rules = [(each.rule, each.cases, len(each.violations)) for each in rule_results]
+        verdict.violations = [case for each in rule_results for case in each.violations]
         return judge(script, verdict, periods_played)
 
     async def finish(self) -> None:
--- a/laureldock/rehearsal/rule_checks.py
+++ b/laureldock/rehearsal/rule_checks.py
@@ -1,7 +1,7 @@
-"""The account of a rehearsal, kept by clients and stand-ins, and the six rules held against it. No I/O.
+"""Records of a test run, made by clients and stub receivers, and checks of the six delivery rules. No I/O.
 
-Times are float seconds of one clock. Nothing here comes from the dispatcher but what it told over its fronts,
-carriers and outlet.
+Times are float seconds of one clock. The dispatcher's internal state is not used, only what it sent through
+its fronts, carriers and outlet.
 """
 
 from __future__ import annotations
@@ -9,283 +9,333 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-TAKEN, BUSY, FAILED, GONE = "taken", "busy", "failed", "gone"
-# What sockets and the machine add to a limit before it counts as passed.
-SLACK = 0.3
-# Seconds after the start of a process in which it makes up for what came due before.
-READY_GRACE = 1.5
-# Seconds within which a notice is read once it is written; by which an end is seen here later than there.
-NOTICE_READ, REST_TOLERANCE = 0.1, 0.05
-AT_THE_END = 0.01  # seconds before a lifetime is over in which a 200 may come too late for its client
-READ_TIME = 0.02  # seconds in which a process reads an answer that has come
-# Calls that cross the answer which tells to wait are let through.
-CROSSING = 0.1
+ACCEPTED, BUSY, FAILED, ABANDONED = "accepted", "busy", "failed", "abandoned"
+# Seconds that sockets and scheduling may add to a limit before it counts as exceeded.
+TIMING_TOLERANCE = 0.3
+# Seconds after the start of a process in which it handles what came due before.
+STARTUP_GRACE = 1.5
+# Seconds from the writing of a notice until it is read here; by which the end of a call is observed here
+# later than at the dispatcher.
+NOTICE_READ_TIME, COOLDOWN_TOLERANCE = 0.1, 0.05
+# Seconds before the end of a lifetime in which a 200 may come too late for the client.
+EXPIRY_MARGIN = 0.01
+READ_TIME = 0.02  # seconds in which a process reads a response that has arrived
+# Seconds after a response with a requested wait in which calls that were already on their way are allowed.
+IN_TRANSIT_TIME = 0.1
 
 
 @dataclass(eq=False, slots=True)
-class Handed:
-    """A mail as its client saw it."""
+class SubmittedMessage:
+    """A message as its client observed it."""
 
     name: str
     queue_class: str
-    effect: str
+    repeat_safety: str
     key: str
     destination: str
-    at: float
-    end: float  # of its lifetime
-    place: int  # in the order of its key
-    word: str = ""  # what the dispatcher answered
-    answered: float = 0.0
+    submitted_at: float
+    expires_at: float
+    position: int  # among the messages of its key
+    reply: str = ""  # one of ACCEPTED, BUSY, FAILED, ABANDONED; empty: none
+    replied_at: float = 0.0
     notices: list[tuple[float, str]] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
-class Call:
-    """A call as a stand-in saw it."""
+class RecordedCall:
+    """A call as a stub receiver observed it."""
 
     receiver: str
-    mail: str
+    message: str
     tag: str
-    first: float  # its first byte
-    begun: float  # its last byte
-    ended: float = 0.0  # its answer written, or its connection gone; nought while it is out
-    status: int = 0  # nought: no answer
-    ran: bool = False
+    first_byte_at: float
+    received_at: float  # time of its last byte
+    ended_at: float = 0.0  # response written, or connection closed; zero while the call is in flight
+    status: int = 0  # zero: no response
+    executed: bool = False
 
 
 @dataclass(eq=False, slots=True)
-class Told:
-    """What a stand-in or the list told, or was: a wait, a drain, or cold."""
+class ReceiverPeriod:
+    """A period in which a rule restricts calls to a receiver: a requested wait, a drain, or a slow start."""
 
     receiver: str
     since: float
     until: float = 0.0
-    mail: str = ""  # whose answer told it
-    # For cold: calls a second that it bears at a time.
-    bears: Callable[[float], float] = lambda at: 0.0
+    message: str = ""  # message whose response requested the wait
+    # During a slow start: calls per second that the receiver can take at a given time.
+    capacity: Callable[[float], float] = lambda at: 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """A process that ended, and the next one, which was ready again."""
+    """The end of a process, and the moment at which the next one was ready."""
 
-    down: float  # when it was told to end, or killed
-    ready: float
+    down_at: float  # when it was signalled to stop, or killed
+    ready_at: float
     killed: bool  # by SIGKILL alone
 
 
 @dataclass(slots=True)
-class Account:
-    handed: dict[str, Handed] = field(default_factory=dict)
-    calls: list[Call] = field(default_factory=list)
-    waits: list[Told] = field(default_factory=list)
-    drains: list[Told] = field(default_factory=list)
-    colds: list[Told] = field(default_factory=list)
-    memory: float = 10.0  # for which a tag is known
-    key_rest: float = 0.3
-    grace: float = 0.5  # of a drain
-    tip: float = 1.5  # times what a cold receiver bears ...
-    fall: float = 1.5  # ... for so long
-    strays: list[str] = field(default_factory=list)  # notices of mails that nobody handed in
-    unread: float = CROSSING  # seconds for which an answer may lie unread at a dispatcher or on its way
-    killed: set[str] = field(default_factory=set)  # mails that a dispatcher owed when it was killed
+class RunRecord:
+    """All that clients and stub receivers observed in one test run."""
+
+    messages: dict[str, SubmittedMessage] = field(default_factory=dict)
+    calls: list[RecordedCall] = field(default_factory=list)
+    requested_waits: list[ReceiverPeriod] = field(default_factory=list)
+    drains: list[ReceiverPeriod] = field(default_factory=list)
+    slow_starts: list[ReceiverPeriod] = field(default_factory=list)
+    tag_memory: float = 10.0  # seconds for which receivers remember a tag
+    key_cooldown: float = 0.3  # seconds
+    drain_grace: float = 0.5  # seconds
+    overload_factor: float = 1.5  # times the capacity of a cold receiver ...
+    overload_window: float = 1.5  # ... over so many seconds
+    unknown_notices: list[str] = field(default_factory=list)  # of messages that nobody submitted
+    # Seconds for which a response may be unread at a dispatcher or in transit.
+    unread_time: float = IN_TRANSIT_TIME
+    # Messages that were pending at a dispatcher when it was killed.
+    pending_at_kill: set[str] = field(default_factory=set)
     restarts: list[Restart] = field(default_factory=list)
-    unreadable: list[tuple[float, float]] = field(default_factory=list)  # reads of connections failed
-    unwritable: list[tuple[float, float]] = field(
+    read_failures: list[tuple[float, float]] = field(default_factory=list)  # reads of connections failed
+    disk_failures: list[tuple[float, float]] = field(
         default_factory=list
     )  # nothing could be written to the disk
-    no_notices: list[tuple[float, float]] = field(default_factory=list)  # the file of notices took none
-    stopped: list[tuple[float, float]] = field(default_factory=list)  # the process was held up
+    # The file of notices could not be written.
+    notice_failures: list[tuple[float, float]] = field(default_factory=list)
+    pauses: list[tuple[float, float]] = field(default_factory=list)  # the process was stopped
 
-    def due(self, end: float) -> float:
-        """When what ends at that time has to be told.
+    def notice_deadline(self, expires_at: float) -> float:
+        """Return the time by which a notice of a message that expires at `expires_at` has to be written.
 
-        No notice is overdue while its dispatcher restarts, nor while the disk takes none.
+        No notice is overdue while its dispatcher restarts, nor while the disk cannot be written.
         """
-        for since, until in sorted(self.no_notices):
-            if since - SLACK <= end < until:
-                end = until
-        for restart in sorted(self.restarts, key=lambda each: each.down):
-            if restart.down - SLACK <= end < restart.ready + READY_GRACE:
-                end = restart.ready + READY_GRACE
-        return end + SLACK
-
-    def unread_at(self, at: float) -> bool:
-        """Whether reads of connections failed about that time."""
-        return any(since - SLACK <= at <= until + SLACK for since, until in self.unreadable)
-
-    def read_too_late(self, at: float, end: float) -> bool:
-        """Whether what came then was read only after `end`, since its process was held up."""
-        return any(since - READ_TIME <= at <= until and until > end for since, until in self.stopped)
-
-    def unknown(self, first: float, second: float) -> bool:
-        """Whether a first end may be unknown where a second one is told.
-
-        Its answer could not be read, or a kill came so soon that the next life could not know of it.
+        for since, until in sorted(self.notice_failures):
+            if since - TIMING_TOLERANCE <= expires_at < until:
+                expires_at = until
+        for restart in sorted(self.restarts, key=lambda each: each.down_at):
+            if restart.down_at - TIMING_TOLERANCE <= expires_at < restart.ready_at + STARTUP_GRACE:
+                expires_at = restart.ready_at + STARTUP_GRACE
+        return expires_at + TIMING_TOLERANCE
+
+    def reads_failed_at(self, at: float) -> bool:
+        """Return whether reads of connections failed about that time."""
+        return any(
+            since - TIMING_TOLERANCE <= at <= until + TIMING_TOLERANCE for since, until in self.read_failures
+        )
+
+    def read_too_late(self, at: float, deadline: float) -> bool:
+        """Return whether a paused process read what arrived at `at` only after `deadline`."""
+        return any(since - READ_TIME <= at <= until and until > deadline for since, until in self.pauses)
+
+    def outcome_may_be_unknown(self, first: float, second: float) -> bool:
+        """Return whether the process that wrote the second outcome may not have known of the first.
+
+        The response of the first could not be read, or a kill followed so soon that the next process could
+        not know of it.
         """
-        kills = [each.down for each in self.restarts if each.killed and each.down <= second]
-        soon = any(first - SLACK <= down <= first + SLACK for down in kills)
-        # No record could be written between that end and the kill.
-        unwritten = any(since <= first <= down <= until for since, until in self.unwritable for down in kills)
-        return soon or unwritten or self.unread_at(first)
-
-    def by_mail(self) -> dict[str, list[Call]]:
-        found: dict[str, list[Call]] = {}
-        for call in sorted(self.calls, key=lambda each: each.begun):
-            found.setdefault(call.mail, []).append(call)
+        kills = [each.down_at for each in self.restarts if each.killed and each.down_at <= second]
+        soon = any(first - TIMING_TOLERANCE <= killed_at <= first + TIMING_TOLERANCE for killed_at in kills)
+        # No record could be written between that outcome and the kill.
+        unwritten = any(
+            since <= first <= killed_at <= until for since, until in self.disk_failures for killed_at in kills
+        )
+        return soon or unwritten or self.reads_failed_at(first)
+
+    def calls_by_message(self) -> dict[str, list[RecordedCall]]:
+        """Return the calls of each message, in the order in which they were received."""
+        found: dict[str, list[RecordedCall]] = {}
+        for call in sorted(self.calls, key=lambda each: each.received_at):
+            found.setdefault(call.message, []).append(call)
         return found
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class RuleResult:
+    """Result of one rule check over a test run."""
+
     rule: str
-    counted: int  # cases in which it could have been broken
-    broken: tuple[str, ...]
-
-
-def judge(account: Account) -> list[Verdict]:
-    rules: list[tuple[str, Callable[[Account], Iterator[str | None]]]] = [
-        ("one final answer, in time", one_answer),
-        ("no effect twice", no_double),
-        ("drains are kept", drains),
-        ("returning receivers not pushed over", returning),
-        ("order of keys", order),
-        ("waits are heeded", waits),
+    cases: int  # in which the rule could have been violated
+    violations: tuple[str, ...]
+
+
+def check_rules(record: RunRecord) -> list[RuleResult]:
+    """Check the six delivery rules by the records of a test run."""
+    rules: list[tuple[str, Callable[[RunRecord], Iterator[str | None]]]] = [
+        ("one final answer, in time", check_single_outcome),
+        ("no effect twice", check_repeats),
+        ("drains are kept", check_drains),
+        ("returning receivers not pushed over", check_slow_starts),
+        ("order of keys", check_key_order),
+        ("waits are heeded", check_requested_waits),
     ]
-    verdicts = []
+    results = []
     for name, rule in rules:
-        found = list(rule(account))
-        verdicts.append(Verdict(name, len(found), tuple(each for each in found if each)))
-    return verdicts
-
-
-def one_answer(account: Account) -> Iterator[str | None]:
-    """None for each case in which the rule held, else what was seen. So do all of these."""
-    calls = account.by_mail()
-    for mail in account.handed.values():
-        served = [call for call in calls.get(mail.name, []) if call.status == 200]
-        yield one_end(account, mail, served, calls.get(mail.name, []))
-    for name in account.strays:
-        yield f"{name}: a notice, and nobody handed it in"
+        found = list(rule(record))
+        results.append(RuleResult(name, len(found), tuple(each for each in found if each)))
+    return results
+
+
+def check_single_outcome(record: RunRecord) -> Iterator[str | None]:
+    """Check that each message has one final outcome, in time.
+
+    Like all rule checks, yields None for each case in which the rule held, else what was violated.
+    """
+    calls = record.calls_by_message()
+    for message in record.messages.values():
+        delivered = [call for call in calls.get(message.name, []) if call.status == 200]
+        yield outcome_violation(record, message, delivered, calls.get(message.name, []))
+    for name in record.unknown_notices:
+        yield f"{name}: a notice of a message that nobody submitted"
     for name in calls:
-        if name not in account.handed:
-            yield f"{name}: a call, and nobody handed it in"
-
-
-def one_end(account: Account, mail: Handed, served: list[Call], calls: list[Call]) -> str | None:
-    if mail.word == GONE:
-        return None  # its client went; nothing is owed
-    if mail.word != TAKEN:
-        late = [call for call in calls if call.begun > mail.answered + CROSSING]
-        if mail.notices or late:
-            return f"{mail.name}: answered {mail.word}, and more came of it"
-        return None if mail.word else f"{mail.name}: no answer at all"
-    if mail.notices:  # a 200 as the lifetime ends: its client had stopped counting on it, and is told so
-        last = mail.end - AT_THE_END
-        served = [
-            call for call in served if call.ended < last and not account.read_too_late(call.ended, last)
+        if name not in record.messages:
+            yield f"{name}: a call of a message that nobody submitted"
+
+
+def outcome_violation(
+    record: RunRecord, message: SubmittedMessage, delivered: list[RecordedCall], calls: list[RecordedCall]
+) -> str | None:
+    """Return what is wrong with the outcomes of a message; None if nothing is."""
+    if message.reply == ABANDONED:
+        return None  # its client gave up; nothing is pending
+    if message.reply != ACCEPTED:
+        late = [call for call in calls if call.received_at > message.replied_at + IN_TRANSIT_TIME]
+        if message.notices or late:
+            return f"{message.name}: a notice or call after the reply {message.reply}"
+        return None if message.reply else f"{message.name}: no reply"
+    if message.notices:  # a 200 as the lifetime ends: its client no longer waits for it, and gets the notice
+        last = message.expires_at - EXPIRY_MARGIN
+        delivered = [
+            call
+            for call in delivered
+            if call.ended_at < last and not record.read_too_late(call.ended_at, last)
         ]
-    ends = [call.ended for call in served][:1] + [at for at, _ in mail.notices]
-    if not ends:
-        return f"{mail.name}: taken on, and no end"
-    known = mail.name not in account.killed and len(ends) > 1 and not account.unknown(ends[0], ends[1])
-    if known:
-        return f"{mail.name}: {len(ends)} ends"
-    overdue = ends[0] > account.due(mail.end)
-    return f"{mail.name}: its end is {ends[0] - mail.end:.2f}s late" if overdue else None
-
-
-def no_double(account: Account) -> Iterator[str | None]:
-    for name, calls in account.by_mail().items():
-        mail = account.handed.get(name)
-        ran = [call for call in calls if call.ran]
-        if mail is None or mail.effect == "redeliverable":
+    outcomes = [call.ended_at for call in delivered][:1] + [at for at, _ in message.notices]
+    if not outcomes:
+        return f"{message.name}: accepted, and no outcome"
+    repeated = (
+        message.name not in record.pending_at_kill
+        and len(outcomes) > 1
+        and not record.outcome_may_be_unknown(outcomes[0], outcomes[1])
+    )
+    if repeated:
+        return f"{message.name}: {len(outcomes)} outcomes"
+    overdue = outcomes[0] > record.notice_deadline(message.expires_at)
+    return f"{message.name}: its outcome is {outcomes[0] - message.expires_at:.2f}s late" if overdue else None
+
+
+def check_repeats(record: RunRecord) -> Iterator[str | None]:
+    """Check that no message takes effect twice by its repeat safety."""
+    for name, calls in record.calls_by_message().items():
+        message = record.messages.get(name)
+        executed = [call for call in calls if call.executed]
+        if message is None or message.repeat_safety == "redeliverable":
             continue
-        if mail.effect == "once-only":
-            yield f"{name}: once-only, ran {len(ran)} times" if len(ran) > 1 else None
+        if message.repeat_safety == "once-only":
+            yield f"{name}: once-only, executed {len(executed)} times" if len(executed) > 1 else None
         else:
-            apart = ran[-1].begun - ran[0].begun if ran else 0.0
-            yield f"{name}: ran again after {apart:.2f}s" if apart > account.memory else None
-        over = [one.ended or one.begun for one in calls if one.status == 200]
-        # One that was killed may not have read the answer: a tagged mail may go again, within its window.
-        known = name not in account.killed or mail.effect == "once-only"
-        known = known and not (over and account.unread_at(min(over)))
-        if known and over and any(call.begun > min(over) + account.unread for call in calls):
-            yield f"{name}: sent again though it was delivered"
-
-
-def drains(account: Account) -> Iterator[str | None]:
-    for told in account.drains:
+            interval = executed[-1].received_at - executed[0].received_at if executed else 0.0
+            yield f"{name}: executed again after {interval:.2f}s" if interval > record.tag_memory else None
+        delivered_at = [one.ended_at or one.received_at for one in calls if one.status == 200]
+        # A killed process may not have read the response: it may send a tagged message again, within its
+        # window.
+        known = name not in record.pending_at_kill or message.repeat_safety == "once-only"
+        known = known and not (delivered_at and record.reads_failed_at(min(delivered_at)))
+        if (
+            known
+            and delivered_at
+            and any(call.received_at > min(delivered_at) + record.unread_time for call in calls)
+        ):
+            yield f"{name}: sent again after it was delivered"
+
+
+def check_drains(record: RunRecord) -> Iterator[str | None]:
+    """Check that no call begins at a draining receiver after the grace."""
+    for period in record.drains:
         after = [
             call
-            for call in account.calls
-            if call.receiver == told.receiver
-            and call.first > told.since + account.grace
-            and (not told.until or call.first < told.until)
+            for call in record.calls
+            if call.receiver == period.receiver
+            and call.first_byte_at > period.since + record.drain_grace
+            and (not period.until or call.first_byte_at < period.until)
         ]
-        late = ", ".join(call.mail for call in after[:3])
-        yield f"{told.receiver}: {len(after)} calls after its drain ({late})" if after else None
+        late = ", ".join(call.message for call in after[:3])
+        yield f"{period.receiver}: {len(after)} calls after its drain ({late})" if after else None
+
 
+def check_slow_starts(record: RunRecord) -> Iterator[str | None]:
+    """Check the calls to receivers that have just recovered.
 
-def returning(account: Account) -> Iterator[str | None]:
-    """In no window of `fall` seconds more than `tip` times what it bears, and two calls for chance."""
-    for told in account.colds:
+    No `overload_window` has more than `overload_factor` times what the receiver can take, and two calls for
+    chance.
+    """
+    for period in record.slow_starts:
         times = sorted(
-            call.begun
-            for call in account.calls
-            if call.receiver == told.receiver and told.since <= call.begun < told.until
+            call.received_at
+            for call in record.calls
+            if call.receiver == period.receiver and period.since <= call.received_at < period.until
         )
         worst, text = 0.0, None
         for start in times:
-            count = sum(start <= at < start + account.fall for at in times)
-            allowed = account.tip * told.bears(start) * account.fall + 2
+            count = sum(start <= at < start + record.overload_window for at in times)
+            allowed = record.overload_factor * period.capacity(start) * record.overload_window + 2
             if count - allowed > worst:
                 worst = count - allowed
-                text = f"{told.receiver}: {count} calls in {account.fall}s at {start - told.since:.1f}s cold"
+                text = (
+                    f"{period.receiver}: {count} calls in {record.overload_window}s"
+                    f" at {start - period.since:.1f}s of slow start"
+                )
         yield text
 
 
-def order(account: Account) -> Iterator[str | None]:
-    """Nothing is sent before every earlier message of its key is over, nor while its key rests."""
-    calls = account.by_mail()
-    keys: dict[str, list[Handed]] = {}
-    for mail in account.handed.values():
-        if mail.key:
-            keys.setdefault(mail.key, []).append(mail)
-    for mails in keys.values():
-        mails.sort(key=lambda each: each.place)
-        for place, after in enumerate(mails):
-            first = min((call.begun for call in calls.get(after.name, [])), default=None)
-            if first is None or not place:
+def check_key_order(record: RunRecord) -> Iterator[str | None]:
+    """Check that nothing is sent before every earlier message of its key is finished, nor in its cooldown."""
+    calls = record.calls_by_message()
+    keys: dict[str, list[SubmittedMessage]] = {}
+    for message in record.messages.values():
+        if message.key:
+            keys.setdefault(message.key, []).append(message)
+    for same_key in keys.values():
+        same_key.sort(key=lambda each: each.position)
+        for index, later in enumerate(same_key):
+            first = min((call.received_at for call in calls.get(later.name, [])), default=None)
+            if first is None or not index:
                 continue
-            found = (early_by(account, each, calls.get(each.name, []), first) for each in mails[:place])
-            why = next((each for each in found if each), None)
-            yield f"{after.name}: {why}" if why else None
-
-
-def early_by(account: Account, before: Handed, calls: list[Call], first: float) -> str | None:
-    """Why the first call of a later message came too early for this one; None if it did not."""
-    if any(call.begun > first or call.ended > first or not call.ended for call in calls):
-        return f"sent before {before.name} was over"
-    ends = [call.ended for call in calls if call.status == 200] + [at for at, _ in before.notices]
-    # A notice is read from its file a moment after it was written there.
-    if before.word == TAKEN and not any(end <= first + NOTICE_READ for end in ends):
-        return f"sent before {before.name} had an end"
-    rests = [call.ended + account.key_rest for call in calls if not call.status and call.ran]
-    if rests and first < max(rests) - REST_TOLERANCE:
-        return f"sent {max(rests) - first:.2f}s before the rest after {before.name}'s call was over"
+            found = (
+                order_violation(record, each, calls.get(each.name, []), first) for each in same_key[:index]
+            )
+            reason = next((each for each in found if each), None)
+            yield f"{later.name}: {reason}" if reason else None
+
+
+def order_violation(
+    record: RunRecord, earlier: SubmittedMessage, calls: list[RecordedCall], first: float
+) -> str | None:
+    """Return why a later message's first call came too early for the earlier message; None if it did not."""
+    if any(call.received_at > first or call.ended_at > first or not call.ended_at for call in calls):
+        return f"sent before the calls of {earlier.name} had ended"
+    outcomes = [call.ended_at for call in calls if call.status == 200] + [at for at, _ in earlier.notices]
+    # A notice is read from its file a moment after it was written.
+    if earlier.reply == ACCEPTED and not any(
+        outcome_at <= first + NOTICE_READ_TIME for outcome_at in outcomes
+    ):
+        return f"sent before {earlier.name} had an outcome"
+    cooldowns = [call.ended_at + record.key_cooldown for call in calls if not call.status and call.executed]
+    if cooldowns and first < max(cooldowns) - COOLDOWN_TOLERANCE:
+        return f"sent {max(cooldowns) - first:.2f}s before the cooldown after a call of {earlier.name} ended"
     return None
 
 
-def waits(account: Account) -> Iterator[str | None]:
-    for told in account.waits:
+def check_requested_waits(record: RunRecord) -> Iterator[str | None]:
+    """Check that no call arrives at a receiver during a wait that it requested."""
+    for period in record.requested_waits:
         early = [
             call
-            for call in account.calls
-            if call.receiver == told.receiver and told.since + CROSSING < call.begun < told.until - 0.005
+            for call in record.calls
+            if call.receiver == period.receiver
+            and period.since + IN_TRANSIT_TIME < call.received_at < period.until - 0.005
         ]
         yield (
-            f"{told.receiver}: {early[0].mail} came {told.until - early[0].begun:.2f}s early"
+            f"{period.receiver}: {early[0].message} came {period.until - early[0].received_at:.2f}s early"
             if early
             else None
         )
--- a/laureldock/rehearsal/soak/__init__.py
+++ b/laureldock/rehearsal/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: many real processes on loopback, troubles that overlap, and rules that are held all the while."""
+"""The soak: real processes on loopback under overlapping random faults, and the rules checked throughout."""
--- a/laureldock/rehearsal/soak/dispatcher_process.py
+++ b/laureldock/rehearsal/soak/dispatcher_process.py
@@ -1,4 +1,4 @@
-"""One process of a rehearsed dispatcher: its start, its end, and what its management address says."""
+"""One process of a dispatcher under test: start, stop, and requests to its management address."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 READY_TIMEOUT = 30.0  # seconds
 STOP_TIMEOUT = 3.7  # seconds from SIGTERM to SIGKILL, by the platform's protocol
-ASK_TIMEOUT = 2.0  # seconds
+REQUEST_TIMEOUT = 2.0  # seconds
 Address = tuple[str, int]  # host and port
-READY_INTERVAL = 0.02  # seconds between two asks of a process that starts
+READY_INTERVAL = 0.02  # seconds between two requests to a process that starts
 
 
 @dataclass(eq=False, slots=True)
 class DispatcherProcess:
-    """A process, with the file that it was configured by and its management address."""
+    """A process, with its configuration file and its management address."""
 
     process: asyncio.subprocess.Process
     file: Path
     management: Address
-    terminated_at: float = 0.0  # monotonic seconds; 0: it was not told to end
+    terminated_at: float = 0.0  # time of SIGTERM in monotonic seconds; zero: it was not sent
 
     @classmethod
     async def launch(
@@ -39,9 +39,9 @@
         passed: int = -1,
         environment: Mapping[str, str] | None = None,
     ) -> DispatcherProcess:
-        """Start a process by a command; `passed` is a descriptor that it inherits. OSError.
+        """Start a process by a command; `passed` is a descriptor that it inherits. Raises OSError.
 
-        `environment` stands in place of this process's own.
+        `environment` replaces the environment of this process.
         """
         descriptors = [passed] if passed >= 0 else []
         with log.open("ab") as output:
@@ -51,51 +51,51 @@
         return cls(process, file, management)
 
     @property
-    def id(self) -> int:
-        """Of the process."""
+    def process_id(self) -> int:
+        """The id of the process."""
         return self.process.pid
 
     @property
-    def lives(self) -> bool:
+    def is_running(self) -> bool:
         """Whether it has not ended, as far as is known."""
         return self.process.returncode is None
 
-    def send(self, sign: signal.Signals) -> None:
-        """A signal, if it lives."""
-        if not self.lives:
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal, if it runs."""
+        if not self.is_running:
             return
-        if sign is signal.SIGTERM and not self.terminated_at:
+        if number is signal.SIGTERM and not self.terminated_at:
             self.terminated_at = time.monotonic()
         with contextlib.suppress(ProcessLookupError):
-            self.process.send_signal(sign)
+            self.process.send_signal(number)
 
-    async def ready(self) -> None:
-        """Wait until it says that it takes clients. RuntimeError: it ended; TimeoutError."""
+    async def wait_ready(self) -> None:
+        """Wait until it accepts clients. Raises RuntimeError if it ended, else TimeoutError."""
         until = time.monotonic() + READY_TIMEOUT
         while time.monotonic() < until:
-            if not self.lives:
-                raise RuntimeError(f"a process ended at its start with {self.process.returncode}")
-            figures = await self.figures()
-            if figures and figures["ready"]:
+            if not self.is_running:
+                raise RuntimeError(f"a process ended at startup with exit code {self.process.returncode}")
+            counters = await self.counters()
+            if counters and counters["ready"]:
                 return
             await asyncio.sleep(READY_INTERVAL)
         raise TimeoutError(f"a process was not ready in {READY_TIMEOUT:g} s")
 
-    async def figures(self) -> dict[str, Any] | None:
-        """What `/_vars` shows; None where it does not answer now."""
-        return await get_json(*self.management, "/_vars", ASK_TIMEOUT)
+    async def counters(self) -> dict[str, Any] | None:
+        """Return the response to `/_vars`; None if there is none."""
+        return await get_json(*self.management, "/_vars", REQUEST_TIMEOUT)
 
     async def kill(self) -> None:
-        """End it at once, and wait for that."""
-        self.send(signal.SIGKILL)
+        """Kill it by SIGKILL, and wait for its end."""
+        self.send_signal(signal.SIGKILL)
         await self.process.wait()
 
-    async def stopped(self) -> bool:
-        """Wait for its end after SIGTERM, and kill it where that is late; whether it ended in time."""
-        left = self.terminated_at + STOP_TIMEOUT - time.monotonic()
+    async def wait_stopped(self) -> bool:
+        """Wait for its end after SIGTERM, and kill it if that is late; return whether it ended in time."""
+        remaining = self.terminated_at + STOP_TIMEOUT - time.monotonic()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.process.wait(), max(0.0, left))
-        if self.lives:
+            await asyncio.wait_for(self.process.wait(), max(0.0, remaining))
+        if self.is_running:
             await self.kill()
             return False
         return True
--- a/laureldock/rehearsal/soak/dispatcher_soak.py
+++ b/laureldock/rehearsal/soak/dispatcher_soak.py
@@ -1,4 +1,4 @@
-"""One soaked dispatcher: its process, the stand-ins, relays and clients round it, and its troubles."""
+"""The soak of one dispatcher: its processes, the stub receivers, relays and clients around it, its faults."""
 
 from __future__ import annotations
 
@@ -12,37 +12,36 @@
 from pathlib import Path
 from typing import Any
 
-from laureldock.rehearsal.rule_checks import Account, Told
+from laureldock.rehearsal.rule_checks import ReceiverPeriod, RunRecord
 from laureldock.rehearsal.scripted_run import LIFETIME, RECEIVERS, free_port, new_lines, write_example
-from laureldock.rehearsal.soak import faults as troubles
-from laureldock.rehearsal.soak.clients import Load, misbehave
-from laureldock.rehearsal.soak.discovery import DRAINING, READY, Discovery, Host
+from laureldock.rehearsal.soak import faults
+from laureldock.rehearsal.soak.clients import SteadyLoad, run_client_fault
+from laureldock.rehearsal.soak.discovery import DRAINING, READY, Endpoint, StubDiscovery
 from laureldock.rehearsal.soak.dispatcher_process import Address
-from laureldock.rehearsal.soak.evaluation import judge_play
-from laureldock.rehearsal.soak.faults import Signal, Trouble
+from laureldock.rehearsal.soak.evaluation import evaluate_run
+from laureldock.rehearsal.soak.faults import ProcessFault, ScheduledFault
 from laureldock.rehearsal.soak.platform import write_configuration
 from laureldock.rehearsal.soak.process_group import ProcessGroup
 from laureldock.rehearsal.soak.relay import Relay
-from laureldock.rehearsal.soak.soak_result import Findings
-from laureldock.rehearsal.soak.system_calls import Fault, Window
-from laureldock.rehearsal.stub_receivers import Fault as ReceiverFault
-from laureldock.rehearsal.stub_receivers import Receiver
+from laureldock.rehearsal.soak.soak_result import SoakResult
+from laureldock.rehearsal.soak.system_calls import FaultWindow, SystemCallFault
+from laureldock.rehearsal.stub_receivers import FaultPeriod, StubReceiver
 
-PAUSE_TIME = 0.15  # seconds for which a process is held up
-RESUME_TIME = 0.02  # seconds until it has read what came meanwhile
+PAUSE_TIME = 0.15  # seconds for which a process is paused
+RESUME_TIME = 0.02  # seconds until it has read what arrived meanwhile
 RELOADS = 3  # in a row
-START_SHARE = 0.3  # of a trouble's time, after which a process that starts is killed: ready or not yet
-NOTICE_INTERVAL = 0.02  # seconds between two looks at a file of notices
-EMPTY_LOOKS = 6  # in a row, a tenth of a second apart, after which nothing is held
-SETTLE_TIME = LIFETIME + 3.0  # seconds in which all that was accepted has its end
+START_SHARE = 0.3  # fraction of a fault's time after which a starting process is killed: ready or not yet
+NOTICE_INTERVAL = 0.02  # seconds between two reads of a file of notices
+EMPTY_POLLS = 6  # in a row, a tenth of a second apart, after which no message counts as pending
+SETTLE_TIME = LIFETIME + 3.0  # seconds in which all accepted messages reach their final outcomes
 
 
-class SoakedDispatcher:
-    """Plays `length` seconds of load and troubles, and judges them.
+class DispatcherSoak:
+    """Plays `length` seconds of load and faults, and evaluates them.
 
-    `passed`: the listening socket is held here and passed to each process, as on the platform's days with a
-    new version under load; processes hand over then. `platform`: the list of receivers and the notices are
-    the platform's.
+    `passed`: the listening socket is held here and passed to each process, as the platform does when a new
+    version is deployed under load; then processes hand over. `platform`: the endpoint list and the notices
+    are the platform's.
     """
 
     def __init__(
@@ -56,94 +55,100 @@
         platform: bool = False,
     ) -> None:
         self.folder, self.name, self.seed, self.length = folder, name, seed, length
-        self.account = Account()
-        self.findings = Findings(name, seed)
+        self.record = RunRecord()
+        self.result = SoakResult(name, seed)
         self.receivers = {
-            each: Receiver(each, owner, self.account, seed + place)
-            for place, (each, owner) in enumerate(RECEIVERS.items())
+            each: StubReceiver(each, destination, self.record, seed + number)
+            for number, (each, destination) in enumerate(RECEIVERS.items())
         }
-        self.troubles = troubles.draw(seed, length, list(RECEIVERS), passed, platform)
-        owners = sorted(set(RECEIVERS.values()))
+        self.faults = faults.draw_faults(seed, length, list(RECEIVERS), passed, platform)
+        names = sorted(set(RECEIVERS.values()))
         # The platform's destinations are numbers.
         self.destinations = {
-            owner: str(place + 1) if platform else owner for place, owner in enumerate(owners)
+            destination: str(number + 1) if platform else destination
+            for number, destination in enumerate(names)
         }
-        self.discovery = Discovery(self.listing_trouble, self.take_notice) if platform else None
-        self.relays = {each: Relay(partial(self.relay_trouble, each)) for each in RECEIVERS}
-        self.notices, self.notices_read = folder / "state" / "undelivered.jsonl", 0
+        self.discovery = StubDiscovery(self.list_fault, self.receive_notice) if platform else None
+        self.relays = {each: Relay(partial(self.connection_fault, each)) for each in RECEIVERS}
+        self.notices_path, self.notices_read = folder / "state" / "undelivered.jsonl", 0
         self.log = folder / "log"
-        # An address of its own: no port there is taken by a connection that goes out.
+        # A separate address for each dispatcher: none of its ports is used by an outgoing connection.
         self.host, self.port = f"127.77.{seed // 250 % 250}.{seed % 250 + 1}", free_port()
         listening = socket.create_server((self.host, self.port), backlog=512) if passed else None
-        self.load = Load(
-            self.account,
+        self.load = SteadyLoad(
+            self.record,
             (self.host, self.port),
             seed,
             rate,
             list(self.destinations.values()),
-            self.may_be_unanswered,
+            self.may_lack_reply,
         )
-        self.without = ""  # a receiver that is not listed just now
-        self.began = 0.0  # of the monotonic clock, as `troubles` count from it
+        self.without = ""  # name of a receiver that is removed from the configuration now
+        self.started_at = 0.0  # start of the load, in seconds of the monotonic clock
         self.processes = ProcessGroup(
             folder,
             self.host,
             seed,
             listening,
             self.write_file,
-            self.windows,
-            self.account,
-            self.findings,
+            self.fault_windows,
+            self.record,
+            self.result,
             platform,
         )
 
-    # What the troubles say now
+    # Faults that are active now
 
     def elapsed(self) -> float:
-        return time.monotonic() - self.began
+        """Return the seconds since the start of the load."""
+        return time.monotonic() - self.started_at
 
-    def relay_trouble(self, receiver: str) -> troubles.Path | None:
+    def connection_fault(self, receiver: str) -> faults.ConnectionFault | None:
+        """Return the active fault of the relay in front of a receiver."""
         now = self.elapsed()
-        for each in self.troubles:
+        for each in self.faults:
             if (
-                isinstance(each.kind, troubles.Path)
+                isinstance(each.kind, faults.ConnectionFault)
                 and each.target == receiver
-                and each.at <= now < each.until
+                and each.since <= now < each.until
             ):
                 return each.kind
         return None
 
-    def listing_trouble(self) -> troubles.Listing | None:
+    def list_fault(self) -> faults.ListFault | None:
+        """Return the active fault of the platform's agent."""
         now = self.elapsed()
-        for each in self.troubles:
-            if isinstance(each.kind, troubles.Listing) and each.at <= now < each.until:
+        for each in self.faults:
+            if isinstance(each.kind, faults.ListFault) and each.since <= now < each.until:
                 return each.kind
         return None
 
-    def may_be_unanswered(self) -> bool:
-        """Whether its connections break just now: it was killed, or its reads and writes fail."""
+    def may_lack_reply(self) -> bool:
+        """Return whether connections break just now: a process was killed, or its reads and writes fail."""
         now = self.elapsed()
-        breaking = [each for each in self.troubles if each.kind is Fault.BROKEN]
-        if any(each.at - 0.5 <= now < each.until + 0.5 for each in breaking):
+        breaking = [each for each in self.faults if each.kind is SystemCallFault.BROKEN]
+        if any(each.since - 0.5 <= now < each.until + 0.5 for each in breaking):
             return True
-        return any(abs(time.time() - at) < 1.0 for at in self.processes.killed_at)
+        return any(abs(time.time() - at) < 1.0 for at in self.processes.kill_times)
 
-    def windows(self) -> list[Window]:
-        """Of the system calls of a process, on the monotonic clock."""
+    def fault_windows(self) -> list[FaultWindow]:
+        """Return the faults of a process's system calls, on the monotonic clock."""
         return [
-            Window(each.kind, self.began + each.at, self.began + each.until, each.share, each.step)
-            for each in self.troubles
-            if isinstance(each.kind, Fault)
+            FaultWindow(
+                each.kind, self.started_at + each.since, self.started_at + each.until, each.share, each.step
+            )
+            for each in self.faults
+            if isinstance(each.kind, SystemCallFault)
         ]
 
     # The process
 
     def write_file(self, file: Path, management: Address, passed: int) -> None:
-        """Configure a process: the example, with the relays as receivers. OSError."""
+        """Configure a process: the example, with the relays as receivers. Raises OSError."""
         listen = f"{self.host}:{self.port}"
         if self.discovery:
             agent = f"127.0.0.1:{self.discovery.port}"
-            write_configuration(file, self.name, self.seed, listen, agent, self.discovery.whole())
+            write_configuration(file, self.name, self.seed, listen, agent, self.discovery.full_list())
             return
         ports = [
             (each, self.relays[name].port) for name, each in self.receivers.items() if name != self.without
@@ -153,176 +158,197 @@
             more["passed"] = passed
         write_example(file, listen, ports, **more)
 
-    # The soak
+    # The run
 
     async def play(self) -> None:
-        """Play to the end; what it has shown is `judge`."""
+        """Play the load and the faults to the end; `evaluate` returns the result."""
         (self.folder / "state").mkdir(parents=True, exist_ok=True)
-        self.began = time.monotonic() + 3600.0  # no trouble yet
+        self.started_at = time.monotonic() + 3600.0  # no fault is active yet
         for name, receiver in self.receivers.items():
             await receiver.start(time.time())
             await self.relays[name].start(receiver.port)
         if self.discovery:
-            await self.discovery.start(self.hosts())
-        first = self.troubles
+            await self.discovery.start(self.endpoints())
+        drawn = self.faults
         try:
-            self.troubles = []
+            self.faults = []
             await self.processes.launch()
             await self.processes.kill_newest()
-            self.troubles, self.began = first, time.monotonic()
-            self.tell_receivers()
+            self.faults, self.started_at = drawn, time.monotonic()
+            self.set_receiver_faults()
             await self.processes.launch()
-            self.processes.killed_at.clear()
+            self.processes.kill_times.clear()
             await self.run()
-        except (RuntimeError, TimeoutError) as defect:
-            self.findings.defects.append(str(defect))
+        except (RuntimeError, TimeoutError) as error:
+            self.result.errors.append(str(error))
         finally:
             await self.close()
-            self.read_notices()  # with the time of now, not of when all plays are judged
+            self.read_notices()  # now, so that their time is not that of the evaluation, after all runs
 
-    def hosts(self) -> list[Host]:
-        """The receivers, behind their relays, as a platform lists them."""
+    def endpoints(self) -> list[Endpoint]:
+        """Return the receivers, behind their relays, as entries of a platform's list."""
         return [
-            Host(name, self.relays[name].port, int(self.destinations[each.destination]), each.rate)
+            Endpoint(name, self.relays[name].port, int(self.destinations[each.destination]), each.rate)
             for name, each in self.receivers.items()
         ]
 
-    def tell_receivers(self) -> None:
-        wall = time.time() - self.elapsed()
+    def set_receiver_faults(self) -> None:
+        """Give the stub receivers their faults and the start of the load."""
+        wall_start = time.time() - self.elapsed()
         for receiver in self.receivers.values():
-            receiver.began = wall
-        for each in self.troubles:
-            if isinstance(each.kind, troubles.Receiver):
-                fault = ReceiverFault(each.kind.value, each.at, each.until)
-                self.receivers[each.target].faults.append(fault)
+            receiver.started_at = wall_start
+        for each in self.faults:
+            if isinstance(each.kind, faults.ReceiverFault):
+                period = FaultPeriod(each.kind.value, each.since, each.until)
+                self.receivers[each.target].faults.append(period)
 
     async def run(self) -> None:
-        helpers = [asyncio.create_task(self.watch_notices())]
-        helpers += [asyncio.create_task(each.run()) for each in self.receivers.values()]
-        helpers += [asyncio.create_task(self.misbehave(each)) for each in self.troubles]
-        signals = asyncio.create_task(self.send_signals())
+        """Run load and faults, and wait for the final outcomes."""
+        background = [asyncio.create_task(self.watch_notices())]
+        background += [asyncio.create_task(each.run()) for each in self.receivers.values()]
+        background += [asyncio.create_task(self.run_client_fault(each)) for each in self.faults]
+        process_faults = asyncio.create_task(self.run_process_faults())
         try:
             await self.load.run(max(0.0, self.length - self.elapsed()))
-            await signals
+            await process_faults
             await self.settle()
         finally:
-            for task in [*helpers, signals]:
+            for task in [*background, process_faults]:
                 task.cancel()
-            done = await asyncio.gather(*helpers, signals, return_exceptions=True)
-        defects = [each for each in done if isinstance(each, Exception)]
-        self.findings.defects += [f"the soak itself: {defect!r}" for defect in defects]
+            done = await asyncio.gather(*background, process_faults, return_exceptions=True)
+        errors = [each for each in done if isinstance(each, Exception)]
+        self.result.errors += [f"the soak itself failed: {error!r}" for error in errors]
 
-    async def misbehave(self, trouble: Trouble) -> None:
-        if isinstance(trouble.kind, troubles.Client):
-            await self.wait_until(trouble.at)
-            await misbehave(trouble.kind, (self.host, self.port), trouble.until - trouble.at)
+    async def run_client_fault(self, fault: ScheduledFault) -> None:
+        """Run a client fault at its time."""
+        if isinstance(fault.kind, faults.ClientFault):
+            await self.wait_until(fault.since)
+            await run_client_fault(fault.kind, (self.host, self.port), fault.until - fault.since)
 
     async def wait_until(self, at: float) -> None:
+        """Wait until `at` seconds after the start of the load."""
         await asyncio.sleep(max(0.0, at - self.elapsed()))
 
-    async def send_signals(self) -> None:
-        acts = {
-            Signal.KILL: self.kill,
-            Signal.TERMINATE: self.terminate,
-            Signal.RELOAD: self.reload,
-            Signal.DRAIN: self.drain,
-            Signal.PAUSE: self.pause,
-            Signal.HAND_OVER: self.hand_over,
-            Signal.KILLED_HAND_OVER: self.hand_over,
-            Signal.KILLED_START: self.kill_start,
+    async def run_process_faults(self) -> None:
+        """Run the process faults in turn, each at its time or later."""
+        actions = {
+            ProcessFault.KILL: self.kill,
+            ProcessFault.TERMINATE: self.terminate,
+            ProcessFault.RELOAD: self.reload,
+            ProcessFault.DRAIN: self.drain,
+            ProcessFault.PAUSE: self.pause,
+            ProcessFault.HANDOVER: self.hand_over,
+            ProcessFault.KILLED_HANDOVER: self.hand_over,
+            ProcessFault.KILLED_START: self.kill_start,
         }
-        for trouble in self.troubles:
-            if isinstance(trouble.kind, Signal):
-                await self.wait_until(trouble.at)
-                act: Coroutine[Any, Any, None] = acts[trouble.kind](trouble)
-                await act
-
-    async def kill(self, trouble: Trouble) -> None:
+        for fault in self.faults:
+            if isinstance(fault.kind, ProcessFault):
+                await self.wait_until(fault.since)
+                action: Coroutine[Any, Any, None] = actions[fault.kind](fault)
+                await action
+
+    async def kill(self, fault: ScheduledFault) -> None:
+        """Kill the newest process, and start one in the same folder."""
         await self.processes.restart(signal.SIGKILL)
 
-    async def terminate(self, trouble: Trouble) -> None:
+    async def terminate(self, fault: ScheduledFault) -> None:
+        """Stop the newest process, and start one in the same folder."""
         await self.processes.restart(signal.SIGTERM)
 
-    async def hand_over(self, trouble: Trouble) -> None:
-        killed = trouble.kind is Signal.KILLED_HAND_OVER
-        await self.processes.hand_over(trouble.until - trouble.at if killed else None)
+    async def hand_over(self, fault: ScheduledFault) -> None:
+        """Hand over to a second process; the first one may be killed meanwhile."""
+        killed = fault.kind is ProcessFault.KILLED_HANDOVER
+        await self.processes.hand_over(fault.until - fault.since if killed else None)
 
-    async def kill_start(self, trouble: Trouble) -> None:
-        await self.processes.kill_start((trouble.until - trouble.at) * START_SHARE)
+    async def kill_start(self, fault: ScheduledFault) -> None:
+        """Start a second process, and kill it as it starts."""
+        await self.processes.kill_start((fault.until - fault.since) * START_SHARE)
 
-    async def reload(self, trouble: Trouble) -> None:
+    async def reload(self, fault: ScheduledFault) -> None:
+        """Send several SIGHUPs in a row."""
         for _ in range(RELOADS):
-            self.processes.send(signal.SIGHUP)
+            self.processes.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.03)
 
-    async def drain(self, trouble: Trouble) -> None:
-        """A receiver less, once that has been read; and all of them again."""
+    async def drain(self, fault: ScheduledFault) -> None:
+        """Remove a receiver from the configuration until the end of the fault.
+
+        The drain is recorded from when all processes have certainly read the file, and not at all if they
+        may not have.
+        """
         if self.discovery:
-            await self.drain_listed(self.discovery, trouble)
+            await self.drain_listed(self.discovery, fault)
             return
-        self.without = trouble.target
+        self.without = fault.target
         self.processes.configure()
-        if await self.processes.read_again():
-            told = Told(trouble.target, time.time())
-            self.account.drains.append(told)
-            await self.wait_until(trouble.until)
-            told.until = time.time()
+        if await self.processes.reload():
+            period = ReceiverPeriod(fault.target, time.time())
+            self.record.drains.append(period)
+            await self.wait_until(fault.until)
+            period.until = time.time()
         self.without = ""
         self.processes.configure()
-        await self.processes.read_again()
+        await self.processes.reload()
 
-    async def drain_listed(self, discovery: Discovery, trouble: Trouble) -> None:
-        """The same by the platform's list. A list that is silent holds it up."""
-        told = Told(trouble.target, await discovery.told(discovery.set_health(trouble.target, DRAINING)))
-        self.account.drains.append(told)
-        await self.wait_until(trouble.until)
-        told.until = time.time()
-        discovery.set_health(trouble.target, READY)
+    async def drain_listed(self, discovery: StubDiscovery, fault: ScheduledFault) -> None:
+        """Drain a receiver by the platform's list. It is recorded from when the update counts as sent."""
+        period = ReceiverPeriod(
+            fault.target, await discovery.wait_sent(discovery.set_health(fault.target, DRAINING))
+        )
+        self.record.drains.append(period)
+        await self.wait_until(fault.until)
+        period.until = time.time()
+        discovery.set_health(fault.target, READY)
 
-    async def pause(self, trouble: Trouble) -> None:
+    async def pause(self, fault: ScheduledFault) -> None:
+        """Stop all processes by SIGSTOP for a moment."""
         since = time.time()
-        self.processes.send(signal.SIGSTOP)
+        self.processes.send_signal(signal.SIGSTOP)
         await asyncio.sleep(PAUSE_TIME)
-        self.processes.send(signal.SIGCONT)
-        self.account.stopped.append((since, time.time() + RESUME_TIME))
+        self.processes.send_signal(signal.SIGCONT)
+        self.record.pauses.append((since, time.time() + RESUME_TIME))
 
     async def watch_notices(self) -> None:
+        """Read notices as they are written, and measure the scheduling delay of this process."""
         while True:
             self.read_notices()
             before = self.elapsed()
             await asyncio.sleep(NOTICE_INTERVAL)
-            late = self.elapsed() - before - NOTICE_INTERVAL
-            if late > self.findings.held_up:
-                self.findings.held_up, self.findings.held_up_at = late, before
+            delay = self.elapsed() - before - NOTICE_INTERVAL
+            if delay > self.result.longest_stall:
+                self.result.longest_stall, self.result.longest_stall_at = delay, before
 
     def read_notices(self) -> None:
-        lines, self.notices_read = new_lines(self.notices, self.notices_read)
+        """Record the new complete lines of the outlet's file."""
+        lines, self.notices_read = new_lines(self.notices_path, self.notices_read)
         for line in lines:
-            told = json.loads(line)
-            self.note(told["message"], told["outcome"])
-
-    def take_notice(self, message: str, outcome: str) -> None:
-        """One sent to the platform: it comes again until its answer has been read."""
-        mail = self.account.handed.get(message)
-        if mail is None or outcome not in (word for _, word in mail.notices):
-            self.note(message, outcome)
-
-    def note(self, message: str, outcome: str) -> None:
-        if (mail := self.account.handed.get(message)) is not None:
-            mail.notices.append((time.time(), outcome))
+            notice = json.loads(line)
+            self.record_notice(notice["message"], notice["outcome"])
+
+    def receive_notice(self, name: str, outcome: str) -> None:
+        """Record a notice to the platform, which is sent again until its response has been read."""
+        message = self.record.messages.get(name)
+        if message is None or outcome not in (recorded for _, recorded in message.notices):
+            self.record_notice(name, outcome)
+
+    def record_notice(self, name: str, outcome: str) -> None:
+        """Record a notice."""
+        if (message := self.record.messages.get(name)) is not None:
+            message.notices.append((time.time(), outcome))
         else:
-            self.account.strays.append(message)
+            self.record.unknown_notices.append(name)
 
     async def settle(self) -> None:
-        """Until all that was accepted has its end, or should have."""
-        await self.processes.endings_over()
+        """Wait until no message is pending, or all have passed their lifetime."""
+        await self.processes.wait_for_handovers()
         until, empty = time.monotonic() + SETTLE_TIME, 0
-        while time.monotonic() < until and empty < EMPTY_LOOKS:
-            # What a killed process owed is held by nobody until the next one has taken it over.
-            empty = empty + 1 if await self.processes.held() == 0 else 0
+        while time.monotonic() < until and empty < EMPTY_POLLS:
+            # What was pending at a killed process is counted by none until the next one has taken it over.
+            empty = empty + 1 if await self.processes.pending_messages() == 0 else 0
             await asyncio.sleep(0.1)
 
     async def close(self) -> None:
+        """Stop all clients, processes, receivers and relays."""
         await self.load.close()
         await self.processes.close()
         for receiver in self.receivers.values():
@@ -332,9 +358,9 @@
         if self.discovery:
             await self.discovery.stop()
 
-    def judge(self) -> Findings:
-        """What the play has shown; see `judge_play`."""
-        began = time.time() - self.elapsed()
+    def evaluate(self) -> SoakResult:
+        """Return the result of the run; see `evaluate_run`."""
+        started_at = time.time() - self.elapsed()
         on_disk = self.discovery is None
-        judge_play(self.findings, self.account, self.troubles, self.relays, self.log, began, on_disk)
-        return self.findings
+        evaluate_run(self.result, self.record, self.faults, self.relays, self.log, started_at, on_disk)
+        return self.result
--- a/laureldock/rehearsal/soak/evaluation.py
+++ b/laureldock/rehearsal/soak/evaluation.py
@@ -1,92 +1,102 @@
-"""What a play of one soaked dispatcher has shown: its account held against the rules, and its log."""
+"""Evaluates the soak of one dispatcher: checks the rules by its records, and searches its log for errors."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-from laureldock.rehearsal.rule_checks import TAKEN, Account, judge
-from laureldock.rehearsal.soak.faults import Trouble
+from laureldock.rehearsal.rule_checks import ACCEPTED, RunRecord, check_rules
+from laureldock.rehearsal.soak.faults import ScheduledFault
 from laureldock.rehearsal.soak.relay import Relay
-from laureldock.rehearsal.soak.soak_result import Findings
-from laureldock.rehearsal.soak.system_calls import Fault
+from laureldock.rehearsal.soak.soak_result import SoakResult
+from laureldock.rehearsal.soak.system_calls import SystemCallFault
 
 
-def judge_play(
-    findings: Findings,
-    account: Account,
-    troubles: Sequence[Trouble],
+def evaluate_run(
+    result: SoakResult,
+    record: RunRecord,
+    faults: Sequence[ScheduledFault],
     relays: Mapping[str, Relay],
     log: Path,
-    began: float,
+    started_at: float,
     notices_on_disk: bool,
 ) -> None:
-    """Fill in the findings of a play whose load began at `began` (seconds of the wall clock).
+    """Fill in the result of a run whose load began at `started_at` (seconds of the wall clock).
 
-    `notices_on_disk`: they are a file in the folder whose writes may fail. It takes a while where much was
-    handed in: no play may go on beside. OSError: the log cannot be read.
+    `notices_on_disk`: notices are written to a file in the folder whose writes may fail. With many messages
+    this blocks for a while, so no run may be in progress meanwhile. Raises OSError if the log cannot be read.
     """
-    forget_lost_answers(account, relays)
-    note_failing_calls(account, troubles, began, notices_on_disk)
-    findings.handed_in = len(account.handed)
-    findings.accepted = sum(mail.word == TAKEN for mail in account.handed.values())
-    findings.delivered = len({call.mail for call in account.calls if call.status == 200})
-    findings.verdicts = judge(account)
-    findings.troubles = [
-        f"{each.at:.1f}-{each.until:.1f}s {each.kind} {each.target}".strip() for each in troubles
+    discard_lost_responses(record, relays)
+    record_system_call_faults(record, faults, started_at, notices_on_disk)
+    result.submitted = len(record.messages)
+    result.accepted = sum(message.reply == ACCEPTED for message in record.messages.values())
+    result.delivered = len({call.message for call in record.calls if call.status == 200})
+    result.rule_results = check_rules(record)
+    result.faults = [
+        f"{each.since:.1f}-{each.until:.1f}s {each.kind} {each.target}".strip() for each in faults
     ]
-    cases = [case for verdict in findings.verdicts for case in verdict.broken]
-    findings.stories = [
-        story(account, name, began) for name in account.handed if any(name in case for case in cases)
+    cases = [case for rule_result in result.rule_results for case in rule_result.violations]
+    result.message_histories = [
+        message_history(record, name, started_at)
+        for name in record.messages
+        if any(name in case for case in cases)
     ]
-    read_log(findings, log)
+    read_log(result, log)
 
 
-def forget_lost_answers(account: Account, relays: Mapping[str, Relay]) -> None:
-    """What a stand-in answered and its relay did not pass on was told to nobody."""
-    for call in account.calls:
+def discard_lost_responses(record: RunRecord, relays: Mapping[str, Relay]) -> None:
+    """Remove from the records what a stub receiver sent and its relay did not pass on."""
+    for call in record.calls:
         relayed = relays[call.receiver].calls
-        same = [each for each in relayed if each.mail == call.mail and each.at <= call.first]
-        if same and same[-1].answered:
+        same = [
+            each for each in relayed if each.message == call.message and each.relayed_at <= call.first_byte_at
+        ]
+        if same and same[-1].response_passed:
             continue
         call.status = 0
-        account.waits = [
-            each for each in account.waits if (each.receiver, each.mail) != (call.receiver, call.mail)
+        record.requested_waits = [
+            each
+            for each in record.requested_waits
+            if (each.receiver, each.message) != (call.receiver, call.message)
         ]
 
 
-def note_failing_calls(
-    account: Account, troubles: Sequence[Trouble], began: float, notices_on_disk: bool
+def record_system_call_faults(
+    record: RunRecord, faults: Sequence[ScheduledFault], started_at: float, notices_on_disk: bool
 ) -> None:
-    """When reads of connections failed, and when nothing could be written."""
-    for each in troubles:
-        window = began + each.at, began + each.until
-        if each.kind is Fault.BROKEN:
-            account.unreadable.append(window)
-        elif each.kind is Fault.DISK_ERROR and each.share == 1.0:
-            account.unwritable.append(window)
+    """Record when reads of connections failed, and when nothing could be written to disk."""
+    for each in faults:
+        period = started_at + each.since, started_at + each.until
+        if each.kind is SystemCallFault.BROKEN:
+            record.read_failures.append(period)
+        elif each.kind is SystemCallFault.DISK_ERROR and each.share == 1.0:
+            record.disk_failures.append(period)
             if notices_on_disk:
-                account.no_notices.append(window)
+                record.notice_failures.append(period)
 
 
-def story(account: Account, name: str, began: float) -> str:
-    """All that was seen of a message, in seconds from the start of the load."""
-    mail = account.handed[name]
-    parts = [f"{name} {mail.effect} to {mail.destination} {mail.key}: at {mail.at - began:.2f}"]
-    parts.append(f"{mail.word or 'no answer'} {mail.answered - began:.2f}")
-    for call in account.calls:
-        if call.mail == name:
-            ran = "ran" if call.ran else "not run"
+def message_history(record: RunRecord, name: str, started_at: float) -> str:
+    """Format all that was observed of a message, in seconds from the start of the load."""
+    message = record.messages[name]
+    parts = [
+        f"{name} {message.repeat_safety} to {message.destination} {message.key}:"
+        f" at {message.submitted_at - started_at:.2f}"
+    ]
+    parts.append(f"{message.reply or 'no reply'} {message.replied_at - started_at:.2f}")
+    for call in record.calls:
+        if call.message == name:
+            executed = "executed" if call.executed else "not executed"
             parts.append(
-                f"{call.receiver} {call.first - began:.2f}-{call.ended - began:.2f} {call.status} {ran}"
+                f"{call.receiver} {call.first_byte_at - started_at:.2f}-{call.ended_at - started_at:.2f}"
+                f" {call.status} {executed}"
             )
-    parts += [f"{word} {at - began:.2f}" for at, word in mail.notices]
+    parts += [f"{outcome} {at - started_at:.2f}" for at, outcome in message.notices]
     return "; ".join(parts)
 
 
-def read_log(findings: Findings, log: Path) -> None:
-    """Violations and faults, as the processes logged them. OSError."""
+def read_log(result: SoakResult, log: Path) -> None:
+    """Add the violations and faults that the processes logged to the result. Raises OSError."""
     text = log.read_text(errors="replace") if log.exists() else ""
-    findings.violations = text.count('"event": "invariant violated"')
+    result.invariant_violations = text.count('"event": "invariant violated"')
     if "Traceback" in text or '"event": "fault"' in text:
-        findings.defects.append(f"an exception in {log}")
+        result.errors.append(f"an exception in {log}")
--- a/laureldock/rehearsal/soak/faulty_process.py
+++ b/laureldock/rehearsal/soak/faulty_process.py
@@ -1,6 +1,6 @@
-"""The program as it is, with system calls that fail: `python -m ... FAULTS COMMAND ...`.
+"""Runs the program with failing system calls: `python -m ... FAULTS COMMAND ...`.
 
-FAULTS is a JSON file (`FaultPlan`); the rest is what `laureldock` is told.
+FAULTS is a JSON file (`FaultPlan`); the rest are arguments of `laureldock`.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 import msgspec
 
-from laureldock.rehearsal.soak.system_calls import SystemCalls, Window
+from laureldock.rehearsal.soak.system_calls import FaultInjector, FaultWindow
 
 
 class FaultPlan(msgspec.Struct, frozen=True):
-    """Which calls of a process fail when. `folder` is the one whose files fail."""
+    """The system calls of a process that fail, and when. `folder` is the one whose files are affected."""
 
     folder: str
     seed: int
-    windows: list[Window]
+    windows: list[FaultWindow]
 
     def write(self, path: Path) -> None:
-        """Put it where a process is told to find it. OSError."""
+        """Write the plan to the file that a process gets as FAULTS. Raises OSError."""
         path.write_bytes(msgspec.json.encode(self))
 
 
 def main() -> None:
-    """Install the faults, then run the program's own command line."""
+    """Install the faults, then run the command line of the program."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=FaultPlan)
-    SystemCalls(Path(plan.folder), plan.seed, plan.windows).install()
+    FaultInjector(Path(plan.folder), plan.seed, plan.windows).install()
     sys.argv = ["laureldock", *sys.argv[2:]]
     runpy.run_module("laureldock", run_name="__main__")
 
--- a/laureldock/rehearsal/soak/platform.py
+++ b/laureldock/rehearsal/soak/platform.py
@@ -1,4 +1,4 @@
-"""What the platform tells a process of a soaked dispatcher: its configuration file and its environment."""
+"""The configuration file and environment that a platform gives to the processes of a soaked dispatcher."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 from pathlib import Path
 from typing import Any
 
-from laureldock.rehearsal.scripted_run import CLASSES, LIFETIME
+from laureldock.rehearsal.scripted_run import LIFETIME, QUEUE_CLASSES
 from laureldock.rehearsal.soak.dispatcher_process import Address
 
 NANOSECONDS = 1e9
 EFFECTS = {"redeliverable": "retryable", "tagged": "dedup", "once-only": "fragile"}
-TAG_MEMORY = 10.0  # seconds, as the account of the rehearsal has it
+TAG_MEMORY = 10.0  # seconds; `RunRecord.tag_memory` has the same
 SOCKETS, DISK_MB = 512, 64
 
 
-def queue_class(name: str, effect: str) -> dict[str, Any]:
-    """A class as the platform's settings have it."""
+def queue_class(name: str, repeat_safety: str) -> dict[str, Any]:
+    """Return a queue class in the format of the platform's settings."""
     found = {
         "name": name,
-        "effect": EFFECTS[effect],
+        "effect": EFFECTS[repeat_safety],
         "points": 1,
         "aim_ns": NANOSECONDS,
         "deadline_ns": LIFETIME * NANOSECONDS,
     }
-    if effect == "tagged":
+    if repeat_safety == "tagged":
         found |= {"window_ns": TAG_MEMORY * NANOSECONDS, "dedup_scope": "all", "in_order": True}
     return found
 
 
 def settings() -> dict[str, Any]:
-    """The rules and limits of the example, as the platform tells them."""
+    """Return the rules and limits of the example configuration in the platform's format."""
     return {
-        "classes": [queue_class(name, effect) for name, effect in CLASSES.items()],
+        "classes": [queue_class(name, repeat_safety) for name, repeat_safety in QUEUE_CLASSES.items()],
         "kinds": ["partner"],
         "n_instances": 1,
         "weight_kind": "nominal",
@@ -62,22 +62,22 @@
 def write_configuration(
     file: Path, name: str, seed: int, listen: str, discovery: str, known: dict[str, Any]
 ) -> None:
-    """Write the file that `LB_CONFIG` names, whole or not at all. OSError."""
+    """Write the file that `LB_CONFIG` names, atomically. Raises OSError."""
     limits = {"cores": 1, "memory_mb": 64, "sockets": SOCKETS, "disk_mb": DISK_MB}
-    told = {"name": name, "seed": f"{seed:x}", "listen": listen, "discovery": discovery}
-    fresh = file.with_suffix(".new")
-    fresh.write_text(json.dumps({**told, "limits": limits, "known": known, "settings": settings()}))
-    fresh.rename(file)
+    fields = {"name": name, "seed": f"{seed:x}", "listen": listen, "discovery": discovery}
+    new_file = file.with_suffix(".new")
+    new_file.write_text(json.dumps({**fields, "limits": limits, "known": known, "settings": settings()}))
+    new_file.rename(file)
 
 
 def environment(file: Path, state: Path, management: Address, passed: int) -> dict[str, str]:
-    """Of a process; `passed` is the descriptor of the listening socket, -1 for none."""
-    told = {
+    """Return the environment of a process; `passed` is the listening socket's descriptor, -1 for none."""
+    variables = {
         **os.environ,
         "LB_CONFIG": str(file),
         "LB_STATE": str(state),
         "LB_MANAGEMENT": f"{management[0]}:{management[1]}",
     }
     if passed >= 0:
-        told["LB_PASSED_SOCKET"] = str(passed)
-    return told
+        variables["LB_PASSED_SOCKET"] = str(passed)
+    return variables
--- a/laureldock/rehearsal/soak/process_group.py
+++ b/laureldock/rehearsal/soak/process_group.py
@@ -1,4 +1,4 @@
-"""The processes of one soaked dispatcher: starts, ends, restarts, hand-overs, and what all are asked."""
+"""The processes of one dispatcher under soak: starts, stops, restarts, handovers, requests to all of them."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 from pathlib import Path
 from typing import Any
 
-from laureldock.rehearsal.rule_checks import Account, Restart
+from laureldock.rehearsal.rule_checks import Restart, RunRecord
 from laureldock.rehearsal.scripted_run import free_port
 from laureldock.rehearsal.soak.dispatcher_process import Address, DispatcherProcess
 from laureldock.rehearsal.soak.faulty_process import FaultPlan
 from laureldock.rehearsal.soak.platform import environment
-from laureldock.rehearsal.soak.soak_result import Findings
-from laureldock.rehearsal.soak.system_calls import Window
+from laureldock.rehearsal.soak.soak_result import SoakResult
+from laureldock.rehearsal.soak.system_calls import FaultWindow
 
 DOWN_TIME = 0.6  # seconds from the end of a process to its next start
-SIGNALS_IN_SERIES = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1)  # may follow while a process ends
-SIGNAL_SHARE = 0.3  # of the ends of processes in which each of them does
-UNREAD_ANSWERS = 0.5  # seconds before a kill: answers of that time may never have been read or recorded
+EXTRA_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1)  # may follow while a process ends
+EXTRA_SIGNAL_SHARE = 0.3  # fraction of the ends of processes in which each of them is sent
+# Seconds before a kill: responses from that time may never have been read or recorded.
+UNREAD_RESPONSE_TIME = 0.5
 RELOAD_TIMEOUT = 3.0  # seconds
 
 
 class ProcessGroup:
-    """Those that live of one dispatcher, the newest last.
+    """The running processes of one dispatcher, the newest last.
 
-    `listening` is the socket that they pass on, if they do; `write_file` configures a process by its file,
-    management address and passed descriptor; `windows` are the faults of its system calls. With `platform`
-    they are started as the platform does it.
+    `listening` is the socket that is passed to them, if any; `write_file` configures a process by its file,
+    management address and passed descriptor; `windows` returns the faults of its system calls. With
+    `platform` they are started as the platform does it.
     """
 
     def __init__(
@@ -42,92 +43,92 @@
         seed: int,
         listening: socket.socket | None,
         write_file: Callable[[Path, Address, int], None],
-        windows: Callable[[], list[Window]],
-        account: Account,
-        findings: Findings,
+        windows: Callable[[], list[FaultWindow]],
+        record: RunRecord,
+        result: SoakResult,
         platform: bool = False,
     ) -> None:
         self.folder, self.host, self.seed = folder, host, seed
         self.listening, self.write_file, self.windows = listening, write_file, windows
-        self.account, self.findings, self.platform = account, findings, platform
-        self.living: list[DispatcherProcess] = []
-        self.killed_at: list[float] = []  # of the wall clock
-        self._launched = 0
-        self._chance = random.Random(seed)  # of signals in series
-        self._endings: set[asyncio.Task[None]] = set()  # of processes that hand over
+        self.record, self.result, self.platform = record, result, platform
+        self.running: list[DispatcherProcess] = []
+        self.kill_times: list[float] = []  # seconds of the wall clock
+        self._started_count = 0
+        self._rng = random.Random(seed)  # of extra signals
+        self._handovers: set[asyncio.Task[None]] = set()  # processes that are ending
 
     @property
     def passed(self) -> int:
-        """The descriptor that is passed on; -1: none."""
+        """The descriptor of the passed socket; -1: none."""
         return self.listening.fileno() if self.listening else -1
 
     @property
     def newest(self) -> DispatcherProcess:
-        """The newest one. RuntimeError: it has ended."""
-        if not self.living or not self.living[-1].lives:
-            raise RuntimeError("a process has ended by itself")
-        return self.living[-1]
+        """The newest process. Raises RuntimeError if it has ended."""
+        if not self.running or not self.running[-1].is_running:
+            raise RuntimeError("a process ended unexpectedly")
+        return self.running[-1]
 
     def configure(self) -> None:
-        """Write the file of each process. OSError."""
-        for process in self.living:
+        """Write the file of each process. Raises OSError."""
+        for process in self.running:
             self.write_file(process.file, process.management, self.passed)
 
     async def launch(self) -> DispatcherProcess:
-        """Start a process, and wait until it takes clients. TimeoutError, RuntimeError."""
+        """Start a process, and wait until it accepts clients. Raises TimeoutError, RuntimeError."""
         process = await self._start()
-        await process.ready()
+        await process.wait_ready()
         return process
 
-    async def kill_start(self, after: float) -> None:
-        """Start a process and kill it so many seconds later, whether it takes clients by then or not."""
+    async def kill_start(self, delay: float) -> None:
+        """Start a process and kill it `delay` seconds later, whether or not it accepts clients by then."""
         process = await self._start()
-        await asyncio.sleep(after)
-        down = time.time()
+        await asyncio.sleep(delay)
+        down_at = time.time()
         await self._kill(process)
-        self.account.restarts.append(Restart(down, down, True))
+        self.record.restarts.append(Restart(down_at, down_at, True))
 
     async def _start(self) -> DispatcherProcess:
-        plan = self.folder / f"faults-{self._launched}.json"
+        plan = self.folder / f"faults-{self._started_count}.json"
         FaultPlan(str(self.folder / "state"), self.seed, self.windows()).write(plan)
-        file = self.folder / f"laureldock-{self._launched}.toml"
+        file = self.folder / f"laureldock-{self._started_count}.toml"
         management = self.host, free_port(self.host)
-        self._launched += 1
+        self._started_count += 1
         self.write_file(file, management, self.passed)
         module = "laureldock.rehearsal.soak.faulty_process"
         command = [sys.executable, "-m", module, str(plan), "serve"]
-        told = None
+        variables = None
         if self.platform:
-            told = environment(file, self.folder / "state", management, self.passed)
+            variables = environment(file, self.folder / "state", management, self.passed)
         else:
             command.append(str(file))
         log = self.folder / "log"
-        process = await DispatcherProcess.launch(command, file, management, log, self.passed, told)
-        self.living.append(process)
+        process = await DispatcherProcess.launch(command, file, management, log, self.passed, variables)
+        self.running.append(process)
         return process
 
-    async def held(self) -> int | None:
-        """Messages that they hold; None where one does not answer now."""
-        held = 0
-        for process in self.living:
-            if (figures := await process.figures()) is None:
+    async def pending_messages(self) -> int | None:
+        """Return the number of messages that are pending; None if a process does not respond now."""
+        pending = 0
+        for process in self.running:
+            if (counters := await process.counters()) is None:
                 return None
-            held += int(figures["in_flight"])
-        return held
-
-    def send(self, sign: signal.Signals) -> None:
-        """A signal to each of them."""
-        for process in self.living:
-            process.send(sign)
-
-    async def read_again(self) -> bool:
-        """SIGHUP; whether each of them has surely read its file since."""
-        processes = list(self.living)
-        before = [await each.figures() for each in processes]
-        self.send(signal.SIGHUP)
+            pending += int(counters["in_flight"])
+        return pending
+
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to each process."""
+        for process in self.running:
+            process.send_signal(number)
+
+    async def reload(self) -> bool:
+        """Send SIGHUP; return whether each process has certainly read its file since."""
+        processes = list(self.running)
+        before = [await each.counters() for each in processes]
+        self.send_signal(signal.SIGHUP)
         until = time.monotonic() + RELOAD_TIMEOUT
         while None not in before and time.monotonic() < until:
-            now = [await each.figures() for each in processes]
+            now = [await each.counters() for each in processes]
             if all(
                 new and old and new["reloads_ok"] > old["reloads_ok"]
                 for old, new in zip(before, now, strict=True)
@@ -136,89 +137,91 @@
             await asyncio.sleep(0.02)
         return False
 
-    async def restart(self, sign: signal.Signals) -> None:
-        """End the newest by SIGTERM or SIGKILL, and start one on the same folder."""
-        down, process = time.time(), self.newest
-        if sign is signal.SIGTERM:
-            process.send(sign)
-            await self._end(process)
+    async def restart(self, number: signal.Signals) -> None:
+        """End the newest process by SIGTERM or SIGKILL, and start one in the same folder."""
+        down_at, process = time.time(), self.newest
+        if number is signal.SIGTERM:
+            process.send_signal(number)
+            await self._wait_stopped(process)
         else:
             await self._kill(process)
         await asyncio.sleep(DOWN_TIME)
         await self.launch()
-        self.findings.restarts += 1
-        self.account.restarts.append(Restart(down, time.time(), sign is signal.SIGKILL))
+        self.result.restarts += 1
+        self.record.restarts.append(Restart(down_at, time.time(), number is signal.SIGKILL))
 
-    async def hand_over(self, killed_after: float | None) -> None:
-        """Start a second process, and end the first one once the second takes clients.
+    async def hand_over(self, kill_delay: float | None) -> None:
+        """Start a second process, and end the first one once the second accepts clients.
 
-        `killed_after`: seconds after which the first one is killed, if it has not ended by then.
+        `kill_delay`: seconds after which the first one is killed, if it has not ended by then.
         """
-        before = self.newest
+        previous = self.newest
         await self.launch()
-        self.findings.hand_overs += 1
-        before.send(signal.SIGTERM)
+        self.result.handovers += 1
+        previous.send_signal(signal.SIGTERM)
         ending: Coroutine[Any, Any, None]
-        ending = self._end(before) if killed_after is None else self._kill_later(before, killed_after)
+        ending = (
+            self._wait_stopped(previous) if kill_delay is None else self._kill_later(previous, kill_delay)
+        )
         task = asyncio.create_task(ending)
-        self._endings.add(task)
-        task.add_done_callback(self._note_ending)
+        self._handovers.add(task)
+        task.add_done_callback(self._record_handover)
 
-    async def endings_over(self) -> None:
-        """Wait until all that hand over have ended."""
-        await asyncio.gather(*self._endings)
+    async def wait_for_handovers(self) -> None:
+        """Wait until all processes that hand over have ended."""
+        await asyncio.gather(*self._handovers)
 
     async def kill_newest(self) -> None:
-        """RuntimeError: it has ended by itself."""
+        """Kill the newest process. Raises RuntimeError if it has ended."""
         await self._kill(self.newest)
 
     async def close(self) -> None:
-        """Kill all that live."""
-        for task in self._endings:
+        """Kill all processes that run."""
+        for task in self._handovers:
             task.cancel()
-        for process in self.living:
+        for process in self.running:
             await process.kill()
         if self.listening:
             self.listening.close()
 
-    def _note_ending(self, task: asyncio.Task[None]) -> None:
-        self._endings.discard(task)
-        if not task.cancelled() and (fault := task.exception()):
-            self.findings.defects.append(f"the soak itself: {fault!r}")
+    def _record_handover(self, task: asyncio.Task[None]) -> None:
+        self._handovers.discard(task)
+        if not task.cancelled() and (error := task.exception()):
+            self.result.errors.append(f"the soak itself failed: {error!r}")
 
     async def _kill_later(self, process: DispatcherProcess, delay: float) -> None:
-        """Kill a process that ends; it may be over by then."""
+        """Kill a process that is ending; it may have ended by then."""
         await asyncio.sleep(delay)
-        if process.lives:
-            down = time.time()
+        if process.is_running:
+            down_at = time.time()
             await self._kill(process)
-            self.account.restarts.append(Restart(down, down, True))
+            self.record.restarts.append(Restart(down_at, down_at, True))
         else:
-            await self._end(process)
+            await self._wait_stopped(process)
 
-    async def _end(self, process: DispatcherProcess) -> None:
+    async def _wait_stopped(self, process: DispatcherProcess) -> None:
         """Wait for the end of a process that was sent SIGTERM; more signals may follow meanwhile."""
-        for sign in SIGNALS_IN_SERIES:
-            if self._chance.random() < SIGNAL_SHARE:
-                await asyncio.sleep(self._chance.uniform(0.0, 0.2))
-                process.send(sign)
-        if not await process.stopped():
-            self.findings.defects.append("a planned stop took too long")
-            self._note_kill()
+        for number in EXTRA_SIGNALS:
+            if self._rng.random() < EXTRA_SIGNAL_SHARE:
+                await asyncio.sleep(self._rng.uniform(0.0, 0.2))
+                process.send_signal(number)
+        if not await process.wait_stopped():
+            self.result.errors.append("a planned stop took too long")
+            self._record_kill()
         elif process.process.returncode:
-            self.findings.defects.append(f"a planned stop ended with {process.process.returncode}")
-        self.living.remove(process)
+            self.result.errors.append(f"a planned stop ended with exit code {process.process.returncode}")
+        self.running.remove(process)
 
     async def _kill(self, process: DispatcherProcess) -> None:
-        if not process.lives:
-            raise RuntimeError(f"a process has ended by itself with {process.process.returncode}")
-        self.killed_at.append(time.time())  # clients may see it before this process does
+        if not process.is_running:
+            raise RuntimeError(f"a process ended unexpectedly with exit code {process.process.returncode}")
+        self.kill_times.append(time.time())  # clients may observe the kill before this process does
         await process.kill()
-        self.living.remove(process)
-        self._note_kill()
-
-    def _note_kill(self) -> None:
-        """What was answered right before may not have been read."""
-        self.killed_at.append(time.time())
-        recent = time.time() - UNREAD_ANSWERS
-        self.account.killed |= {call.mail for call in self.account.calls if call.ended > recent}
+        self.running.remove(process)
+        self._record_kill()
+
+    def _record_kill(self) -> None:
+        """Record a kill: responses sent right before may not have been read."""
+        self.kill_times.append(time.time())
+        recent = time.time() - UNREAD_RESPONSE_TIME
+        self.record.pending_at_kill |= {call.message for call in self.record.calls if call.ended_at > recent}
--- a/laureldock/rehearsal/soak/relay.py
+++ b/laureldock/rehearsal/soak/relay.py
@@ -1,4 +1,4 @@
-"""A relay before a stand-in receiver that resets, stalls and closes connections, and loses answers."""
+"""A relay in front of a stub receiver that resets, stalls and closes connections, and loses responses."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from laureldock.rehearsal.soak.faults import Path
+from laureldock.rehearsal.soak.faults import ConnectionFault
 
 CALL_ID = re.compile(rb"X-Call-Id: (\S+)\r\n")
-NO_LINGER = struct.pack("ii", 1, 0)  # a close resets
-CLOSE_AFTER = 0.05  # seconds after an answer
+NO_LINGER = struct.pack("ii", 1, 0)  # a close sends a reset
+CLOSE_DELAY = 0.05  # seconds after a response
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
     """Close a connection by a reset."""
-    link = writer.get_extra_info("socket")
-    if link is not None and not writer.is_closing():
-        link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+    connection = writer.get_extra_info("socket")
+    if connection is not None and not writer.is_closing():
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
     writer.transport.abort()
 
 
@@ -29,33 +29,33 @@
 class RelayedCall:
     """A call that went through a relay."""
 
-    mail: str
-    at: float  # before its first byte went on; wall clock, seconds since 1970
-    answered: bool = False  # the answer went back
+    message: str
+    relayed_at: float  # before its first byte was passed on; wall clock, seconds since 1970
+    response_passed: bool = False  # the response was passed back
 
 
 class Relay:
-    """Listens on a port of its own, and passes on to `port`.
+    """Listens on its own port, and passes bytes on to the port of a receiver.
 
-    `trouble` tells what it does just now. `calls` are those that went through, in turn.
+    `current_fault` returns the fault that is active now. `calls` are those that went through, in order.
     """
 
-    def __init__(self, trouble: Callable[[], Path | None]) -> None:
-        self.trouble = trouble
+    def __init__(self, current_fault: Callable[[], ConnectionFault | None]) -> None:
+        self.current_fault = current_fault
         self.port = 0
         self.calls: list[RelayedCall] = []
-        self._to = 0
+        self._receiver_port = 0
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def start(self, to: int) -> None:
-        """Listen. OSError."""
-        self._to = to
+    async def start(self, receiver_port: int) -> None:
+        """Listen. Raises OSError."""
+        self._receiver_port = receiver_port
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Close all."""
+        """Close all connections, and stop listening."""
         if self._server:
             self._server.close()
         for task in list(self._tasks):
@@ -67,23 +67,23 @@
         assert task is not None
         self._tasks.add(task)
         try:
-            far_reader, far_writer = await asyncio.open_connection("127.0.0.1", self._to)
+            receiver_reader, receiver_writer = await asyncio.open_connection("127.0.0.1", self._receiver_port)
         except (OSError, asyncio.CancelledError):
-            reset(writer)  # as where nobody listens: nothing of the call is read
+            reset(writer)  # as if nobody listened: nothing of the call is read
             self._tasks.discard(task)
             return
-        link = Link(self, reader, writer, far_reader, far_writer)
+        connection = RelayedConnection(self, reader, writer, receiver_reader, receiver_writer)
         try:
-            await link.run()
+            await connection.run()
         except asyncio.CancelledError:
             pass  # by `stop`
         finally:
             reset(writer)
-            reset(far_writer)
+            reset(receiver_writer)
             self._tasks.discard(task)
 
 
-class Link:
+class RelayedConnection:
     """One connection through a relay, with one call at a time."""
 
     def __init__(
@@ -91,56 +91,63 @@
         relay: Relay,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        far_reader: asyncio.StreamReader,
-        far_writer: asyncio.StreamWriter,
+        receiver_reader: asyncio.StreamReader,
+        receiver_writer: asyncio.StreamWriter,
     ) -> None:
         self.relay = relay
         self.reader, self.writer = reader, writer
-        self.far_reader, self.far_writer = far_reader, far_writer
-        self.call: RelayedCall | None = None  # whose answer is awaited
+        self.receiver_reader, self.receiver_writer = receiver_reader, receiver_writer
+        self.call: RelayedCall | None = None  # the call in flight
         self.called_at = 0.0
-        self.head = b""  # of the call, as far as it has come
+        self.head = b""  # of the call, as far as it has arrived
 
     async def run(self) -> None:
-        """Until either side closes."""
-        ways = [asyncio.create_task(self._calls()), asyncio.create_task(self._answers())]
+        """Pass bytes on until either side closes."""
+        directions = [
+            asyncio.create_task(self._relay_calls()),
+            asyncio.create_task(self._relay_responses()),
+        ]
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
-            await asyncio.gather(*ways, return_exceptions=True)
+            for direction in directions:
+                direction.cancel()
+            await asyncio.gather(*directions, return_exceptions=True)
 
-    async def _calls(self) -> None:
+    async def _relay_calls(self) -> None:
         while data := await self.reader.read(1 << 16):
-            await self._stalled()
+            await self._wait_for_stall()
             if self.reader.at_eof() or self.reader.exception():
-                return  # given up meanwhile: it never arrives
+                return  # closed by the caller meanwhile: the call never arrives
             self.called_at = self.called_at if self.head else time.time()
             self.head += data
             if self.call is None and (found := CALL_ID.search(self.head)):
                 self.call = RelayedCall(found[1].decode(), self.called_at)
                 self.relay.calls.append(self.call)
-            self.far_writer.write(data)
-            await self.far_writer.drain()
-            if self.relay.trouble() is Path.RESET:
+            self.receiver_writer.write(data)
+            await self.receiver_writer.drain()
+            if self.relay.current_fault() is ConnectionFault.RESET:
                 return
 
-    async def _answers(self) -> None:
-        while data := await self.far_reader.read(1 << 16):
-            await self._stalled()
-            trouble = self.relay.trouble()
-            if trouble in (Path.LOSE, Path.RESET) or self.writer.is_closing() or self.reader.at_eof():
+    async def _relay_responses(self) -> None:
+        while data := await self.receiver_reader.read(1 << 16):
+            await self._wait_for_stall()
+            fault = self.relay.current_fault()
+            if (
+                fault in (ConnectionFault.LOSE_RESPONSES, ConnectionFault.RESET)
+                or self.writer.is_closing()
+                or self.reader.at_eof()
+            ):
                 return
             self.writer.write(data)
             await self.writer.drain()
             if self.call:
-                self.call.answered = True
+                self.call.response_passed = True
             self.call, self.head = None, b""
-            if trouble is Path.CLOSE:
-                await asyncio.sleep(CLOSE_AFTER)
+            if fault is ConnectionFault.CLOSE:
+                await asyncio.sleep(CLOSE_DELAY)
                 return
 
-    async def _stalled(self) -> None:
-        while self.relay.trouble() is Path.STALL:
+    async def _wait_for_stall(self) -> None:
+        while self.relay.current_fault() is ConnectionFault.STALL:
             await asyncio.sleep(0.02)
--- a/laureldock/rehearsal/soak/run.py
+++ b/laureldock/rehearsal/soak/run.py
@@ -1,4 +1,4 @@
-"""A soak: many dispatchers at once, each with its own seed."""
+"""A soak of many dispatchers at once, each with its own seed."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from laureldock.rehearsal.soak.dispatcher_soak import SoakedDispatcher
-from laureldock.rehearsal.soak.soak_result import Findings
+from laureldock.rehearsal.soak.dispatcher_soak import DispatcherSoak
+from laureldock.rehearsal.soak.soak_result import SoakResult
 
-START_GAP = 0.1  # seconds between two starts, lest all begin in one instant
+START_INTERVAL = 0.1  # seconds between two starts, so that not all begin at the same moment
 
 
 async def soak(
@@ -17,27 +17,27 @@
     seeds: Iterable[int],
     length: float,
     rate: float,
-    say: Callable[[Findings], None],
+    report_result: Callable[[SoakResult], None],
     passed: bool = False,
     platform: bool = False,
-) -> list[Findings]:
-    """Soak one dispatcher for each seed, all at once; `say` hears of each once all are through.
+) -> list[SoakResult]:
+    """Soak one dispatcher per seed, all at once; `report_result` gets each result after all have ended.
 
-    `length` in seconds, `rate` in messages a second; `passed`: on a passed socket, with hand-overs;
-    `platform`: with the list and the notices of a platform.
+    `length` is in seconds, `rate` in messages per second; `passed`: with a passed listening socket, and
+    handovers; `platform`: with a platform's endpoint list and notices.
     """
 
-    async def one(place: int, seed: int) -> SoakedDispatcher:
-        await asyncio.sleep(place * START_GAP)
-        own = folder / f"seed-{seed}"
-        own.mkdir(parents=True)
+    async def soak_one(index: int, seed: int) -> DispatcherSoak:
+        await asyncio.sleep(index * START_INTERVAL)
+        dispatcher_folder = folder / f"seed-{seed}"
+        dispatcher_folder.mkdir(parents=True)
         name = f"dock-{seed}"
-        dispatcher = SoakedDispatcher(own, name, seed, length, rate, passed, platform)
+        dispatcher = DispatcherSoak(dispatcher_folder, name, seed, length, rate, passed, platform)
         await dispatcher.play()
         return dispatcher
 
-    found = []
-    for dispatcher in await asyncio.gather(*(one(place, seed) for place, seed in enumerate(seeds))):
-        found.append(dispatcher.judge())
-        say(found[-1])
-    return found
+    results = []
+    for dispatcher in await asyncio.gather(*(soak_one(index, seed) for index, seed in enumerate(seeds))):
+        results.append(dispatcher.evaluate())
+        report_result(results[-1])
+    return results
--- a/laureldock/rehearsal/soak/soak_result.py
+++ b/laureldock/rehearsal/soak/soak_result.py
@@ -1,35 +1,36 @@
-"""What a soak of one dispatcher has shown."""
+"""Result of the soak of one dispatcher."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from laureldock.rehearsal.rule_checks import Verdict
+from laureldock.rehearsal.rule_checks import RuleResult
 
 
 @dataclass(slots=True)
-class Findings:
-    """What a soak of one dispatcher has shown."""
+class SoakResult:
+    """Result of the soak of one dispatcher."""
 
     name: str
     seed: int
-    handed_in: int = 0
+    submitted: int = 0
     accepted: int = 0
     delivered: int = 0
     restarts: int = 0
-    hand_overs: int = 0
-    troubles: list[str] = field(default_factory=list)
-    verdicts: list[Verdict] = field(default_factory=list)
-    violations: int = 0  # of invariants, as the process counted them
-    defects: list[str] = field(default_factory=list)  # crashes, exceptions, ends that came late
-    held_up: float = 0.0  # seconds for which the stand-ins stood still, at most
-    held_up_at: float = 0.0  # when that began, in seconds from the start of the load
-    stories: list[str] = field(default_factory=list)  # of each message for which a rule was broken
+    handovers: int = 0
+    faults: list[str] = field(default_factory=list)
+    rule_results: list[RuleResult] = field(default_factory=list)
+    invariant_violations: int = 0  # as the dispatcher's processes logged them
+    errors: list[str] = field(default_factory=list)  # crashes, exceptions, processes that ended too late
+    # Seconds for which this process, and so its stub receivers, was not scheduled, at most.
+    longest_stall: float = 0.0
+    longest_stall_at: float = 0.0  # when it began, in seconds from the start of the load
+    message_histories: list[str] = field(default_factory=list)  # of each message that violated a rule
 
     @property
-    def broken(self) -> list[str]:
-        """All that should not have been seen."""
-        found = [f"{each.rule}: {case}" for each in self.verdicts for case in each.broken]
-        if self.violations:
-            found.append(f"{self.violations} invariant violations; see the log")
-        return found + self.defects
+    def failures(self) -> list[str]:
+        """Rule violations, invariant violations and errors."""
+        found = [f"{each.rule}: {case}" for each in self.rule_results for case in each.violations]
+        if self.invariant_violations:
+            found.append(f"{self.invariant_violations} invariant violations; see the log")
+        return found + self.errors
--- a/laureldock/rehearsal/soak/system_calls.py
+++ b/laureldock/rehearsal/soak/system_calls.py
@@ -1,7 +1,7 @@
 """Makes system calls of this process fail in the ways that Linux documents, for tests and for the soak.
 
-It stands in front of calls of `os`, `socket` and `time` inside the interpreter; no other process is touched.
-What fails when is told as windows of the monotonic clock, which all processes of a machine share.
+Functions of `os`, `socket` and `time` are replaced inside the interpreter; no other process is affected. The
+faults are given as windows of the monotonic clock, which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 import msgspec
 
 
-class Fault(StrEnum):
-    """What fails during a window."""
+class SystemCallFault(StrEnum):
+    """The calls that fail during a window, and how."""
 
     DISK_ERROR = "disk error"  # writes, syncs, truncations, renames and new files: EIO or ENOSPC
     DISK_SHORT = "disk short"  # writes end early, and truncations fail
@@ -28,18 +28,18 @@
     SOCKET = "socket"  # no new socket: ENFILE, ENOBUFS
     CONNECT = "connect"  # EADDRNOTAVAIL, ENETUNREACH
     BROKEN = "broken"  # a read or write of a connection fails: ETIMEDOUT, EHOSTUNREACH
-    SHORT = "short"  # reads and writes of connections move a few bytes only
+    SHORT = "short"  # reads and writes of connections transfer a few bytes only
     CLOCK = "clock"  # the wall clock is `step` seconds off
 
 
-class Window(msgspec.Struct, frozen=True):
+class FaultWindow(msgspec.Struct, frozen=True):
     """A fault between two times.
 
-    `since` and `until` are seconds of the monotonic clock; `share` is the part of the calls that fail, from
-    0 to 1; `step` is the offset of the wall clock in seconds.
+    `since` and `until` are seconds of the monotonic clock; `share` is the fraction of the calls that fail,
+    from 0 to 1; `step` is the offset of the wall clock in seconds.
     """
 
-    fault: Fault
+    fault: SystemCallFault
     since: float
     until: float
     share: float = 1.0
@@ -51,56 +51,56 @@
 SOCKET_ERRORS = (errno.ENFILE, errno.ENOBUFS)
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH)
 BROKEN_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
-FEW_BYTES = 7
+SHORT_TRANSFER = 7  # bytes
 
 
-class SystemCalls:
-    """The faults of one process. `folder` is the one whose files fail."""
+class FaultInjector:
+    """Injects the faults of one process. `folder` is the one whose files are affected."""
 
-    def __init__(self, folder: Path, seed: int, windows: list[Window]) -> None:
+    def __init__(self, folder: Path, seed: int, windows: list[FaultWindow]) -> None:
         self.folder = str(folder.resolve())
         self.windows = windows
-        self.chance = random.Random(seed)
-        self.struck = 0  # calls that failed
-        self._undo: list[tuple[Any, str, Any]] = []
+        self.rng = random.Random(seed)
+        self.failed_calls = 0
+        self._replaced: list[tuple[Any, str, Any]] = []
         self._monotonic = time.monotonic
 
-    def strikes(self, *faults: Fault) -> Fault | None:
-        """Which of these faults the call that is made now meets, if any."""
+    def draw_fault(self, *faults: SystemCallFault) -> SystemCallFault | None:
+        """Return which of these faults affects the call that is made now, if any."""
         now = self._monotonic()
         for window in self.windows:
-            open_now = window.fault in faults and window.since <= now < window.until
-            if open_now and self.chance.random() < window.share:
-                self.struck += 1
+            active = window.fault in faults and window.since <= now < window.until
+            if active and self.rng.random() < window.share:
+                self.failed_calls += 1
                 return window.fault
         return None
 
     def clock_offset(self) -> float:
-        """Seconds by which the wall clock is off now."""
+        """Return the seconds by which the wall clock is off now."""
         now = self._monotonic()
         steps = [
             window.step
             for window in self.windows
-            if window.fault is Fault.CLOCK and window.since <= now < window.until
+            if window.fault is SystemCallFault.CLOCK and window.since <= now < window.until
         ]
         return sum(steps)
 
     def install(self) -> None:
-        """Stand in front of the calls from now on, until `remove`."""
+        """Replace the calls, until `remove`."""
         self._install_disk()
         self._install_clock()
         self._install_sockets()
 
     def remove(self) -> None:
-        """Give the calls back."""
-        while self._undo:
-            place, name, before = self._undo.pop()
-            setattr(place, name, before)
+        """Restore the original calls."""
+        while self._replaced:
+            module, name, original = self._replaced.pop()
+            setattr(module, name, original)
 
-    def _replace(self, place: Any, name: str, make: Callable[[Any], Any]) -> None:
-        before = getattr(place, name)
-        self._undo.append((place, name, before))
-        setattr(place, name, make(before))
+    def _replace(self, module: Any, name: str, make: Callable[[Any], Any]) -> None:
+        original = getattr(module, name)
+        self._replaced.append((module, name, original))
+        setattr(module, name, make(original))
 
     def _install_disk(self) -> None:
         for name in ("write", "pwrite"):
@@ -111,96 +111,100 @@
             self._replace(os, name, self._failing_rename)
         self._replace(os, "open", self._failing_open)
 
-    def _inside(self, file: int) -> bool:
+    def _in_folder(self, descriptor: int) -> bool:
         try:
-            return os.readlink(f"/proc/self/fd/{file}").startswith(self.folder)
+            return os.readlink(f"/proc/self/fd/{descriptor}").startswith(self.folder)
         except OSError:
             return False
 
     def _fail(self, errors: tuple[int, ...]) -> None:
-        number = self.chance.choice(errors)
+        number = self.rng.choice(errors)
         raise OSError(number, os.strerror(number))
 
-    def _failing_write(self, real: Any) -> Any:
-        def write(file: int, data: bytes, *rest: Any) -> int:
-            if not self._inside(file):
-                return int(real(file, data, *rest))
-            match self.strikes(Fault.DISK_ERROR, Fault.DISK_SHORT):
-                case Fault.DISK_ERROR:
+    def _failing_write(self, original: Any) -> Any:
+        def write(descriptor: int, data: bytes, *arguments: Any) -> int:
+            if not self._in_folder(descriptor):
+                return int(original(descriptor, data, *arguments))
+            match self.draw_fault(SystemCallFault.DISK_ERROR, SystemCallFault.DISK_SHORT):
+                case SystemCallFault.DISK_ERROR:
                     self._fail(DISK_ERRORS)
-                case Fault.DISK_SHORT if len(data) > 1:
-                    return int(real(file, bytes(data)[: self.chance.randrange(1, len(data))], *rest))
-            return int(real(file, data, *rest))
+                case SystemCallFault.DISK_SHORT if len(data) > 1:
+                    return int(
+                        original(descriptor, bytes(data)[: self.rng.randrange(1, len(data))], *arguments)
+                    )
+            return int(original(descriptor, data, *arguments))
 
         return write
 
-    def _failing_on_descriptor(self, real: Any) -> Any:
-        def call(file: int, *rest: Any) -> Any:
-            if self._inside(file) and self.strikes(Fault.DISK_ERROR, Fault.DISK_SHORT):
+    def _failing_on_descriptor(self, original: Any) -> Any:
+        def call(descriptor: int, *arguments: Any) -> Any:
+            if self._in_folder(descriptor) and self.draw_fault(
+                SystemCallFault.DISK_ERROR, SystemCallFault.DISK_SHORT
+            ):
                 self._fail(DISK_ERRORS)
-            return real(file, *rest)
+            return original(descriptor, *arguments)
 
         return call
 
-    def _failing_rename(self, real: Any) -> Any:
-        def rename(source: Any, target: Any, **more: Any) -> None:
-            if os.fspath(target).startswith(self.folder) and self.strikes(Fault.DISK_ERROR):
+    def _failing_rename(self, original: Any) -> Any:
+        def rename(source: Any, target: Any, **options: Any) -> None:
+            if os.fspath(target).startswith(self.folder) and self.draw_fault(SystemCallFault.DISK_ERROR):
                 self._fail(DISK_ERRORS)
-            real(source, target, **more)
+            original(source, target, **options)
 
         return rename
 
-    def _failing_open(self, real: Any) -> Any:
-        def opened(path: Any, flags: int, *rest: Any, **more: Any) -> int:
-            inside = not isinstance(path, int) and os.fspath(path).startswith(self.folder)
-            new = inside and flags & os.O_CREAT and not os.path.exists(path)
-            if new and self.strikes(Fault.DISK_ERROR):
+    def _failing_open(self, original: Any) -> Any:
+        def open_file(path: Any, flags: int, *arguments: Any, **options: Any) -> int:
+            in_folder = not isinstance(path, int) and os.fspath(path).startswith(self.folder)
+            creates = in_folder and flags & os.O_CREAT and not os.path.exists(path)
+            if creates and self.draw_fault(SystemCallFault.DISK_ERROR):
                 self._fail(DISK_ERRORS)
-            return int(real(path, flags, *rest, **more))
+            return int(original(path, flags, *arguments, **options))
 
-        return opened
+        return open_file
 
     def _install_clock(self) -> None:
-        def make(real: Any) -> Any:
-            return lambda: real() + self.clock_offset()
+        def make(original: Any) -> Any:
+            return lambda: original() + self.clock_offset()
 
         self._replace(time, "time", make)
 
     def _install_sockets(self) -> None:
-        faults = self
+        injector = self
 
         class FailingSocket(socket.socket):
-            def __init__(self, *told: Any, **more: Any) -> None:
-                accepted = more.get("fileno") is not None
-                if not accepted and faults.strikes(Fault.SOCKET):
-                    faults._fail(SOCKET_ERRORS)
-                super().__init__(*told, **more)
+            def __init__(self, *arguments: Any, **options: Any) -> None:
+                accepted = options.get("fileno") is not None
+                if not accepted and injector.draw_fault(SystemCallFault.SOCKET):
+                    injector._fail(SOCKET_ERRORS)
+                super().__init__(*arguments, **options)
 
             def accept(self) -> Any:
-                if faults.strikes(Fault.ACCEPT):
-                    faults._fail(ACCEPT_ERRORS)
+                if injector.draw_fault(SystemCallFault.ACCEPT):
+                    injector._fail(ACCEPT_ERRORS)
                 return super().accept()
 
             def connect_ex(self, address: Any) -> int:
-                if faults.strikes(Fault.CONNECT):
-                    return faults.chance.choice(CONNECT_ERRORS)
+                if injector.draw_fault(SystemCallFault.CONNECT):
+                    return injector.rng.choice(CONNECT_ERRORS)
                 return super().connect_ex(address)
 
             def recv(self, size: int, flags: int = 0) -> bytes:
                 if not flags:
-                    match faults.strikes(Fault.BROKEN, Fault.SHORT):
-                        case Fault.BROKEN:
-                            faults._fail(BROKEN_ERRORS)
-                        case Fault.SHORT:
-                            size = min(size, FEW_BYTES)
+                    match injector.draw_fault(SystemCallFault.BROKEN, SystemCallFault.SHORT):
+                        case SystemCallFault.BROKEN:
+                            injector._fail(BROKEN_ERRORS)
+                        case SystemCallFault.SHORT:
+                            size = min(size, SHORT_TRANSFER)
                 return super().recv(size, flags)
 
             def send(self, data: Any, flags: int = 0) -> int:
-                match faults.strikes(Fault.BROKEN, Fault.SHORT):
-                    case Fault.BROKEN:
-                        faults._fail(BROKEN_ERRORS)
-                    case Fault.SHORT:
-                        data = data[:FEW_BYTES]
+                match injector.draw_fault(SystemCallFault.BROKEN, SystemCallFault.SHORT):
+                    case SystemCallFault.BROKEN:
+                        injector._fail(BROKEN_ERRORS)
+                    case SystemCallFault.SHORT:
+                        data = data[:SHORT_TRANSFER]
                 return super().send(data, flags)
 
         self._replace(socket, "socket", lambda _: FailingSocket)
--- a/tests/followers.py
+++ b/tests/followers.py
@@ -16,9 +16,9 @@
 from daemon import HEAD, Daemon
 from replication_rig import MemoryController
 
-from laureldock.rehearsal.rule_checks import Account
+from laureldock.rehearsal.rule_checks import RunRecord
 from laureldock.rehearsal.scripted_run import free_port
-from laureldock.rehearsal.stub_receivers import Receiver
+from laureldock.rehearsal.stub_receivers import StubReceiver
 from laureldock.replication import messages
 from laureldock.replication.messages import (
     Accepted,
@@ -44,10 +44,10 @@
 class Follower(Daemon):
     """A dispatcher by a file without entries. `controllers`: where they listen, or relays before them."""
 
-    def __init__(self, folder: Path, name: str, account: Account, controllers: Iterable[str]) -> None:
+    def __init__(self, folder: Path, name: str, record: RunRecord, controllers: Iterable[str]) -> None:
         folder.mkdir(exist_ok=True)
         super().__init__(folder, {}, 0.0, 0.0)
-        self.name, self.account = name, account
+        self.name, self.record = name, record
         self.controllers = [*controllers]
         self.extra = ""
         self.write_file()
@@ -64,7 +64,7 @@
         return self.folder / "state" / "configuration"
 
     async def version(self) -> int:
-        return int((await self.figures()).get("configuration_version", -1))
+        return int((await self.counters()).get("configuration_version", -1))
 
     async def until_version(self, version: int, seconds: float = 15.0) -> float:
         """How long it took until that version, or a later one, was in force."""
@@ -92,9 +92,9 @@
     """Stand-ins of receivers with one account, and the entries that name them."""
 
     def __init__(self, names: dict[str, str], pace: float = 0.02, rate: float = 400.0) -> None:
-        self.account = Account()
+        self.account = RunRecord()
         self.by_name = {
-            name: Receiver(name, owner, self.account, 1, rate, pace) for name, owner in names.items()
+            name: StubReceiver(name, owner, self.account, 1, rate, pace) for name, owner in names.items()
         }
 
     async def start(self) -> None:
--- a/tests/handover.py
+++ b/tests/handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one dispatcher on a socket passed to both, and clients with a connection to either."""
+"""Test rig: processes of one dispatcher on a passed socket, and clients with connections to each of them."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from pathlib import Path
 from typing import Any
 
-from laureldock.rehearsal.rule_checks import TAKEN, Account, Handed, judge
+from laureldock.rehearsal.rule_checks import ACCEPTED, RunRecord, SubmittedMessage, check_rules
 from laureldock.rehearsal.scripted_run import free_port, new_lines
 from laureldock.rehearsal.soak.clients import Connection, command
 from laureldock.rehearsal.soak.dispatcher_process import DispatcherProcess
-from laureldock.rehearsal.soak.process_group import UNREAD_ANSWERS
-from laureldock.rehearsal.stub_receivers import Receiver
+from laureldock.rehearsal.soak.process_group import UNREAD_RESPONSE_TIME
+from laureldock.rehearsal.stub_receivers import StubReceiver
 
-KEY_REST = 0.3  # seconds
-LIFETIME = 8.0
-HEAD = """\
+KEY_COOLDOWN = 0.3  # seconds
+LIFETIME = 8.0  # seconds
+CONFIGURATION = """\
 name = "dock"
 passed = {passed}
 management = "127.0.0.1:{management}"
@@ -62,42 +62,42 @@
 
 
 @dataclass(eq=False, slots=True)
-class Served:
+class ServingProcess:
     """A process of the dispatcher, and clients' connections to it."""
 
     process: DispatcherProcess
     connections: list[Connection] = field(default_factory=list)
 
-    def send(self, sign: signal.Signals) -> None:
-        """A signal, if it lives."""
-        self.process.send(sign)
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal, if it runs."""
+        self.process.send_signal(number)
 
-    async def ended(self, within: float = 10.0) -> None:
-        """Wait for its end. TimeoutError."""
-        await asyncio.wait_for(self.process.process.wait(), within)
+    async def wait_ended(self, timeout: float = 10.0) -> None:
+        """Wait for its end. Raises TimeoutError."""
+        await asyncio.wait_for(self.process.process.wait(), timeout)
 
 
-class HandOver:
-    """A folder, a listening socket and stand-in receivers, for one process after another."""
+class HandoverRig:
+    """A folder, a listening socket and stub receivers, for one process after another."""
 
     def __init__(
-        self, folder: Path, names: dict[str, str], pace: float, rate: float, slots: int, limits: str
+        self, folder: Path, names: dict[str, str], call_time: float, rate: float, slots: int, limits: str
     ) -> None:
         self.folder, self.slots, self.limits = folder, slots, limits
-        self.account = Account(key_rest=KEY_REST)
+        self.record = RunRecord(key_cooldown=KEY_COOLDOWN)
         self.receivers = {
-            name: Receiver(name, owner, self.account, place, rate, pace)
-            for place, (name, owner) in enumerate(names.items())
+            name: StubReceiver(name, destination, self.record, number, rate, call_time)
+            for number, (name, destination) in enumerate(names.items())
         }
         self.listening = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.port: int = self.listening.getsockname()[1]
-        self.processes: list[Served] = []
+        self.processes: list[ServingProcess] = []
 
-    async def launch(self) -> Served:
-        """Start a process beside those that run; returns once it says that it is ready."""
+    async def launch(self) -> ServingProcess:
+        """Start a process beside those that run, and wait until it is ready."""
         management = free_port()
         file = self.folder / f"laureldock-{len(self.processes)}.toml"
-        text = HEAD.format(
+        text = CONFIGURATION.format(
             passed=self.listening.fileno(),
             management=management,
             port=self.port,
@@ -105,8 +105,8 @@
             lifetime=LIFETIME,
             limits=self.limits,
         )
-        for owner in sorted({each.destination for each in self.receivers.values()}):
-            text += f'[destination.{owner}]\nkind = "partner"\n'
+        for destination_name in sorted({each.destination for each in self.receivers.values()}):
+            text += f'[destination.{destination_name}]\nkind = "partner"\n'
         for each in self.receivers.values():
             text += f'[[endpoint]]\nname = "{each.name}"\ndestination = "{each.destination}"\n'
             text += f'address = "127.0.0.1:{each.port}"\nrate = {each.rate:g}\n'
@@ -115,173 +115,189 @@
         process = await DispatcherProcess.launch(
             command_line, file, ("127.0.0.1", management), self.folder / "log", self.listening.fileno()
         )
-        found = Served(process)
+        found = ServingProcess(process)
         self.processes.append(found)
-        await process.ready()
+        await process.wait_ready()
         return found
 
     @property
     def log(self) -> str:
+        """The log of all processes."""
         return (self.folder / "log").read_text(errors="replace")
 
-    async def connect(self, to: Served, count: int = 1) -> None:
-        """Give a process so many connections of clients; either may accept one, so some are closed again."""
+    async def connect(self, serving: ServingProcess, count: int = 1) -> None:
+        """Open `count` connections to a process; any process may accept one, so some are closed again."""
         others: list[Connection] = []
         async with asyncio.timeout(10):
-            while len(to.connections) < count:
+            while len(serving.connections) < count:
                 connection = Connection(*await asyncio.open_connection("127.0.0.1", self.port))
-                process = await accepting_process(connection)
-                (to.connections if process == to.process.id else others).append(connection)
+                accepted_by = await accepting_process(connection)
+                (serving.connections if accepted_by == serving.process.process_id else others).append(
+                    connection
+                )
         for each in others:
             each.writer.close()
 
-    async def put(
+    async def submit(
         self,
-        process: Served,
+        process: ServingProcess,
         name: str,
         key: str = "",
         queue_class: str = "order",
-        to: str = "north",
+        destination: str = "north",
     ) -> str:
-        """Hand a message in to a process; the first word of its reply."""
-        return await self.exchange(process.connections[0], name, key, queue_class, to)
+        """Submit a message to a process, and return the first word of its reply."""
+        return await self.exchange(process.connections[0], name, key, queue_class, destination)
 
-    async def exchange(self, connection: Connection, name: str, key: str, queue_class: str, to: str) -> str:
-        """Hand a message in on a connection; the first word of its reply, empty where it was closed."""
+    async def exchange(
+        self, connection: Connection, name: str, key: str, queue_class: str, destination: str
+    ) -> str:
+        """Submit a message on a connection, and return its reply; empty if the connection was closed."""
         now = time.time()
-        effect = "redeliverable" if queue_class == "notice" else "tagged"
-        place = len(self.account.handed)
-        mail = Handed(name, queue_class, effect, key, to, now, now + LIFETIME, place)
-        mail = self.account.handed.setdefault(name, mail)  # a client sends it once more under its id
-        fields = f"c={queue_class},d={round(LIFETIME * 1000)},dest={to},k=t{name}"
+        repeat_safety = "redeliverable" if queue_class == "notice" else "tagged"
+        number = len(self.record.messages)
+        message = SubmittedMessage(
+            name, queue_class, repeat_safety, key, destination, now, now + LIFETIME, number
+        )
+        message = self.record.messages.setdefault(name, message)  # a client may submit an id again
+        fields = f"c={queue_class},d={round(LIFETIME * 1000)},dest={destination},k=t{name}"
         connection.writer.write(
             command(b"MSG.PUT", key.encode() or b"0", name.encode(), fields.encode(), b"x")
         )
         async with asyncio.timeout(5):
             line = await connection.reader.readline()
-        mail.word, mail.answered = (TAKEN if line == b"+OK\r\n" else line.decode().strip()), time.time()
-        return mail.word
+        message.reply, message.replied_at = (
+            (ACCEPTED if line == b"+OK\r\n" else line.decode().strip()),
+            time.time(),
+        )
+        return message.reply
 
-    async def hand_in(self, processes: list[Served], name: str, key: str, to: str) -> None:
-        """Hand a message in to the first of these processes; to the next where its connection is closed."""
+    async def submit_to_any(
+        self, processes: list[ServingProcess], name: str, key: str, destination: str
+    ) -> None:
+        """Submit a message to the first of these processes; to the next if its connection is closed."""
         for process in processes:
             while process.connections:
-                connection = process.connections.pop()  # for this one alone
+                connection = process.connections.pop()  # nobody else uses it meanwhile
                 with contextlib.suppress(OSError):
-                    if await self.exchange(connection, name, key, "order", to):
+                    if await self.exchange(connection, name, key, "order", destination):
                         process.connections.append(connection)
                         return
                 connection.writer.transport.abort()
         connection = Connection(*await asyncio.open_connection("127.0.0.1", self.port))
-        assert await self.exchange(connection, name, key, "order", to), f"nobody answers {name}"
+        assert await self.exchange(connection, name, key, "order", destination), f"no reply to {name}"
         connection.writer.close()
 
-    async def kill(self, process: Served) -> None:
-        """Kill a process; what it was answered right before may not have been read."""
+    async def kill(self, process: ServingProcess) -> None:
+        """Kill a process; responses sent right before may not have been read."""
         await process.process.kill()
-        recent = time.time() - UNREAD_ANSWERS
-        self.account.killed |= {call.mail for call in self.account.calls if call.ended > recent}
+        recent = time.time() - UNREAD_RESPONSE_TIME
+        self.record.pending_at_kill |= {call.message for call in self.record.calls if call.ended_at > recent}
 
-    async def until_delivered(self, *names: str, within: float = 10.0) -> None:
-        """Wait until each of these messages was delivered. TimeoutError."""
-        async with asyncio.timeout(within):
-            while not set(names) <= {call.mail for call in self.account.calls if call.status == 200}:
+    async def wait_delivered(self, *names: str, timeout: float = 10.0) -> None:
+        """Wait until each of these messages was delivered. Raises TimeoutError."""
+        async with asyncio.timeout(timeout):
+            while not set(names) <= {call.message for call in self.record.calls if call.status == 200}:
                 await asyncio.sleep(0.01)
 
     async def watch_notices(self) -> None:
         """Read notices as they are written."""
-        undelivered, read = self.folder / "state" / "undelivered.jsonl", 0
+        undelivered, offset = self.folder / "state" / "undelivered.jsonl", 0
         while True:
-            lines, read = new_lines(undelivered, read)
-            for told in map(json.loads, lines):
-                self.account.handed[told["message"]].notices.append((time.time(), told["outcome"]))
+            lines, offset = new_lines(undelivered, offset)
+            for notice in map(json.loads, lines):
+                self.record.messages[notice["message"]].notices.append((time.time(), notice["outcome"]))
             await asyncio.sleep(0.02)
 
-    async def until_ended(self, *names: str, within: float) -> None:
-        """Wait until each of these messages was delivered, or ended by a notice. TimeoutError."""
-        async with asyncio.timeout(within):
+    async def wait_finished(self, *names: str, timeout: float) -> None:
+        """Wait until each of these messages was delivered, or has a notice. Raises TimeoutError."""
+        async with asyncio.timeout(timeout):
             while True:
-                served = {call.mail for call in self.account.calls if call.status == 200}
-                if all(name in served or self.account.handed[name].notices for name in names):
+                delivered = {call.message for call in self.record.calls if call.status == 200}
+                if all(name in delivered or self.record.messages[name].notices for name in names):
                     return
                 await asyncio.sleep(0.02)
 
     def calls(self, name: str) -> list[tuple[float, float, int]]:
-        """Begin, end and status of each call of a message, in seconds from the first of all."""
-        began = min((call.begun for call in self.account.calls), default=0.0)
+        """Return begin, end and status of each call of a message, in seconds from the first call of all."""
+        first = min((call.received_at for call in self.record.calls), default=0.0)
         return [
-            (round(call.begun - began, 3), round(call.ended - began, 3), call.status)
-            for call in self.account.calls
-            if call.mail == name
+            (round(call.received_at - first, 3), round(call.ended_at - first, 3), call.status)
+            for call in self.record.calls
+            if call.message == name
         ]
 
-    def most_out(self) -> int:
-        """The most calls that were out at once."""
-        steps = [(call.begun, 1) for call in self.account.calls]
-        steps += [(call.ended, -1) for call in self.account.calls]
+    def max_in_flight(self) -> int:
+        """Return the maximum number of calls that were in flight at once."""
+        steps = [(call.received_at, 1) for call in self.record.calls]
+        steps += [(call.ended_at, -1) for call in self.record.calls]
         return max(accumulate(step for _, step in sorted(steps)))
 
-    def broken(self, rule: str = "") -> list[str]:
-        """What the account shows of broken rules."""
+    def violations(self, rule: str = "") -> list[str]:
+        """Return the violations of the rules whose names contain `rule`."""
         return [
-            f"{verdict.rule}: {case}"
-            for verdict in judge(self.account)
-            if rule in verdict.rule
-            for case in verdict.broken
+            f"{result.rule}: {case}"
+            for result in check_rules(self.record)
+            if rule in result.rule
+            for case in result.violations
         ]
 
     def details(self, cases: list[str]) -> str:
-        """Of each message that these cases name: its calls and notices, in seconds from its hand-in."""
-        told = [*cases]
-        for mail in self.account.handed.values():
-            if not any(re.search(rf"\b{re.escape(mail.name)}\b", case) for case in cases):
+        """Format calls and notices of each message in these cases, in seconds from its submission."""
+        lines = [*cases]
+        for message in self.record.messages.values():
+            if not any(re.search(rf"\b{re.escape(message.name)}\b", case) for case in cases):
                 continue
             calls = [
-                (round(call.begun - mail.at, 3), round(call.ended - mail.at, 3), call.status)
-                for call in self.account.calls
-                if call.mail == mail.name
+                (
+                    round(call.received_at - message.submitted_at, 3),
+                    round(call.ended_at - message.submitted_at, 3),
+                    call.status,
+                )
+                for call in self.record.calls
+                if call.message == message.name
             ]
-            notices = [(round(at - mail.at, 3), outcome) for at, outcome in mail.notices]
-            told.append(f"{mail.name} ({mail.word}): calls {calls}, notices {notices}")
-        return "\n".join(told)
+            notices = [(round(at - message.submitted_at, 3), outcome) for at, outcome in message.notices]
+            lines.append(f"{message.name} ({message.reply}): calls {calls}, notices {notices}")
+        return "\n".join(lines)
 
 
 async def accepting_process(connection: Connection) -> int:
-    """The id of the process that accepted a connection."""
+    """Return the id of the process that accepted a connection."""
     connection.writer.write(command(b"INFO"))
     size = int((await connection.reader.readline())[1:])
     text = (await connection.reader.readexactly(size + 2)).decode()
-    figures = dict(line.split(":", 1) for line in text.splitlines() if ":" in line)
-    return int(figures["process_id"])
+    counters = dict(line.split(":", 1) for line in text.splitlines() if ":" in line)
+    return int(counters["process_id"])
 
 
 @contextlib.asynccontextmanager
-async def hand_over(
+async def handover_rig(
     folder: Path,
     names: dict[str, str] | None = None,
-    pace: float = 0.2,
+    call_time: float = 0.2,
     rate: float = 200.0,
     slots: int = 64,
     limits: str = "",
-) -> AsyncIterator[HandOver]:
-    """A rig, with its receivers started; all that it began ends with it. `limits`: lines of the kind."""
-    found = HandOver(folder, names or {"n1": "north", "n2": "north"}, pace, rate, slots, limits)
-    for receiver in found.receivers.values():
+) -> AsyncIterator[HandoverRig]:
+    """Start a rig with its receivers, and stop it at the end. `limits`: lines for the destination kind."""
+    rig = HandoverRig(folder, names or {"n1": "north", "n2": "north"}, call_time, rate, slots, limits)
+    for receiver in rig.receivers.values():
         await receiver.start(time.time())
-    notices = asyncio.create_task(found.watch_notices())
+    notices = asyncio.create_task(rig.watch_notices())
     try:
-        yield found
+        yield rig
     finally:
         notices.cancel()
-        for process in found.processes:
+        for process in rig.processes:
             for connection in process.connections:
                 connection.writer.transport.abort()
             await process.process.kill()
-        for receiver in found.receivers.values():
+        for receiver in rig.receivers.values():
             await receiver.stop()
-        found.listening.close()
+        rig.listening.close()
 
 
 def run(scenario: Any) -> None:
-    """Play a scenario to its end."""
+    """Run a scenario to its end."""
     asyncio.run(scenario)
--- a/tests/test_controlled.py
+++ b/tests/test_controlled.py
@@ -36,7 +36,7 @@
 
 
 def counted(here: Receivers) -> Counter[str]:
-    return Counter(call.mail for call in here.account.calls)
+    return Counter(call.message for call in here.account.calls)
 
 
 async def until(condition: Any, seconds: float = 10.0) -> None:
@@ -59,17 +59,17 @@
             here.extra = f'management = "127.0.0.1:{management}"\n'
             text = here.file.read_text()
             here.file.write_text(here.extra + text)
-            await here.spawn()
+            await here.start_process()
             await asyncio.sleep(1.0)
             with pytest.raises((OSError, redis.RedisError)):
                 await here.client.ping()
             controller.state.accept(receivers.puts("n1", "s1"))
             await controller.start()
-            await here.ready()
-            assert await here.put("m1") == b"OK"
-            await here.until("held", 0)
+            await here.wait_ready()
+            assert await here.submit("m1") == b"OK"
+            await here.wait_for_counter("held", 0)
             assert counted(receivers) == Counter(["m1"])
-            figures = await here.figures()
+            figures = await here.counters()
             assert figures["configuration_version"] == 1 and figures["configuration_refused"] == 0
             assert figures["configuration_epoch"] == 7
             await until(lambda: "configuration_age_s" in get(management, "/_vars"), 5.0)
@@ -83,9 +83,9 @@
             took = await here.until_version(version)
             assert took < 2
             for number in range(20):
-                assert await here.put(f"x{number}") == b"OK"
-            await here.until("held", 0)
-            assert {call.receiver for call in receivers.account.calls if call.mail != "m1"} == {"n2"}
+                assert await here.submit(f"x{number}") == b"OK"
+            await here.wait_for_counter("held", 0)
+            assert {call.receiver for call in receivers.account.calls if call.message != "m1"} == {"n2"}
             assert controller.versions("d1") == [1, 2]
             await controller.stop()
 
@@ -100,7 +100,7 @@
         async with followers(tmp_path, NAMES, [controller.address]) as (receivers, [here]):
             await controller.start()
             for _ in range(2):
-                await here.spawn()
+                await here.start_process()
                 await until(lambda: "d1" in controller.streams)
                 await asyncio.sleep(0.5)
                 with pytest.raises((OSError, redis.RedisError)):
@@ -108,12 +108,12 @@
                 await here.end()
                 await until(lambda: "d1" not in controller.streams)
             assert any(isinstance(message, InForce) for _, message in controller.heard)
-            await here.spawn()
+            await here.start_process()
             await until(lambda: "d1" in controller.streams)
             controller.accept(receivers.puts())
-            await here.ready()
-            assert await here.put("m1") == b"OK"
-            await here.until("held", 0)
+            await here.wait_ready()
+            assert await here.submit("m1") == b"OK"
+            await here.wait_for_counter("held", 0)
             await controller.stop()
 
     run(scenario())
@@ -136,22 +136,22 @@
             await asyncio.sleep(2.1)
             await controller.stop()
             await asyncio.sleep(1.0)
-            assert await here.put("before") == b"OK"
-            await here.until("held", 0)  # killed before its end it would be sent again
+            assert await here.submit("before") == b"OK"
+            await here.wait_for_counter("held", 0)  # killed before its end it would be sent again
             for number in (signal.SIGKILL, signal.SIGTERM):
                 await here.end(number)
                 began = time.monotonic()
                 await here.launch()
                 assert time.monotonic() - began < 5
-                figures = await here.figures()
+                figures = await here.counters()
                 assert figures["configuration_version"] == 7 and figures["configuration_age_s"] >= 1.0
-                assert await here.put(f"after-{number.name}", to="south") == b"OK"
-                await here.until("held", 0)
+                assert await here.submit(f"after-{number.name}", destination="south") == b"OK"
+                await here.wait_for_counter("held", 0)
             await controller.start()
             controller.accept(removal("n2"))
             await here.until_version(8)
             await asyncio.sleep(2.1)
-            assert (await here.figures())["configuration_age_s"] < 3
+            assert (await here.counters())["configuration_age_s"] < 3
             asked = [each for _, each in controller.heard if isinstance(each, Subscribe)]
             assert asked[-1].position.version == 7  # not by a snapshot
             assert counted(receivers) == Counter(["before", "after-SIGKILL", "after-SIGTERM"])
@@ -168,7 +168,9 @@
             async def load() -> None:
                 for place in range(0, len(names), 20):
                     some = enumerate(names[place : place + 20])
-                    puts = (here.put(name, to=("north", "south")[number % 2]) for number, name in some)
+                    puts = (
+                        here.submit(name, destination=("north", "south")[number % 2]) for number, name in some
+                    )
                     assert set(await asyncio.gather(*puts)) == {b"OK"}
                     await asyncio.sleep(0.03)
 
@@ -182,7 +184,7 @@
                 await here.until_version(controller.state.position.version)
                 await asyncio.sleep(0.25)
             await task
-            await here.until("held", 0)
+            await here.wait_for_counter("held", 0)
             assert moves >= 4 and moved
             assert counted(receivers) == Counter(names)
             assert not (here.folder / "state" / "undelivered.jsonl").exists()
@@ -197,14 +199,14 @@
             controller.state.accept(receivers.puts())
             await controller.start()
             await asyncio.gather(*(each.launch() for each in here))
-            puts = asyncio.gather(*(each.put(f"{each.name}-{n}") for each in here for n in range(200)))
+            puts = asyncio.gather(*(each.submit(f"{each.name}-{n}") for each in here for n in range(200)))
             for number in range(100):
                 controller.accept(Change(puts=(receivers.entry("s1", rate=1.0 + number),)))
             took = await asyncio.gather(*(each.until_version(101) for each in here))
             assert max(took) < 5
             assert set(await puts) == {b"OK"}
             for each in here:
-                await each.until("held", 0)
+                await each.wait_for_counter("held", 0)
                 assert controller.versions(each.name) == list(range(1, 102))
             assert counted(receivers) == Counter(f"{each.name}-{n}" for each in here for n in range(200))
             await controller.stop()
@@ -244,7 +246,7 @@
                 if version != 5:  # which is lost, and found to be with the next one
                     await here.until_version(version, 2.0)
             assert controller.versions("d1") == list(range(1, 7))
-            figures = await here.figures()
+            figures = await here.counters()
             assert figures["configuration_change_spoilt"] == 2
             assert figures["configuration_change_repeated"] >= 1
             assert figures.get("faults", 0) == 0
@@ -264,9 +266,9 @@
             await until(lambda: "d1" in controller.streams)
             controller.accept(removal("n2"))
             await here.until_version(2)
-            assert (await here.figures())["configuration_malformed_message"] == 4
-            assert await here.put("m1") == b"OK"
-            await here.until("held", 0)
+            assert (await here.counters())["configuration_malformed_message"] == 4
+            assert await here.submit("m1") == b"OK"
+            await here.wait_for_counter("held", 0)
 
     run(scenario())
 
@@ -300,15 +302,15 @@
             await new.until_version(3)
             await until(lambda: len(controller.refusals("d2")) == 2)
             assert [each.position.version for each in controller.refusals("d2")] == [2, 3]
-            figures = await old.figures()
+            figures = await old.counters()
             assert figures["configuration_version"] == 1 and figures["configuration_refused"] == 2
-            assert await old.put("m1", to="south") == b"OK"  # it goes on with what it has
+            assert await old.submit("m1", destination="south") == b"OK"  # it goes on with what it has
             await old.end(signal.SIGTERM)
             await old.launch()
             await until(lambda: len(controller.refusals("d2")) == 4)
             controller.accept(Change(removals=(refused_at_one(receivers).puts[1].key,)))
             await old.until_version(4)  # what was refused passes with the change that mends it
-            assert (await old.figures())["configuration_refused"] == 0
+            assert (await old.counters())["configuration_refused"] == 0
             await new.until_version(4)
             await until(lambda: controller.versions("d2")[-1] == controller.versions("d1")[-1] == 4)
             await controller.stop()
@@ -327,7 +329,7 @@
             await here.end(signal.SIGTERM)
             await here.launch()
             await here.until_version(2)
-            assert (await here.figures())["configuration_refused"] == 0
+            assert (await here.counters())["configuration_refused"] == 0
 
     run(scenario())
 
@@ -346,7 +348,7 @@
             await here.end(signal.SIGTERM)
             here.extra = ""
             here.write_file()
-            await here.spawn()
+            await here.start_process()
             await until(lambda: controller.refusals("d1"))
             with pytest.raises((OSError, redis.RedisError)):  # nothing of it is in force
                 await here.client.ping()
@@ -367,8 +369,8 @@
             await until(lambda: controller.refusals("d1"))
             assert "cannot be read" in controller.refusals("d1")[0].faults[0].reason
             assert await here.version() == 1
-            assert await here.put("m1") == b"OK"
-            await here.until("held", 0)
+            assert await here.submit("m1") == b"OK"
+            await here.wait_for_counter("held", 0)
             await here.end()
             await here.launch()  # not on disk, either
             assert await here.version() == 1
@@ -387,7 +389,7 @@
             controller.accept(Change(puts=(TermsEntry("class=news", terms),)))
             await here.until_version(2)
             await receivers.by_name["n1"].stop()
-            answer = await asyncio.gather(here.put("m1"), return_exceptions=True)
+            answer = await asyncio.gather(here.submit("m1"), return_exceptions=True)
             assert answer[0] == b"OK" or "BUSY" in str(answer[0]) or "ERR" in str(answer[0])
             await controller.stop()
 
@@ -414,11 +416,11 @@
 
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as here:
-            assert await here.put("m1") == b"OK"
-            here.write(without="n2")
-            here.hang_up()
-            await here.until("configurations_read", 1)
-            assert not [name for name in await here.figures() if name.startswith("configuration_")]
+            assert await here.submit("m1") == b"OK"
+            here.write_configuration(without="n2")
+            here.reload()
+            await here.wait_for_counter("configurations_read", 1)
+            assert not [name for name in await here.counters() if name.startswith("configuration_")]
             names = imported((tmp_path / "log").read_text())
             assert "laureldock.assembly" in names
             assert not [name for name in names if name.startswith(OF_IT)]
--- a/tests/test_controlled_faults.py
+++ b/tests/test_controlled_faults.py
@@ -47,9 +47,9 @@
 async def served(here: list[Follower], receivers: Receivers, mark: str) -> None:
     """Each takes a mail, and it is relayed once."""
     for each in here:
-        assert await each.put(f"{mark}-{each.name}") == b"OK"
+        assert await each.submit(f"{mark}-{each.name}") == b"OK"
     for each in here:
-        await each.until("held", 0)
+        await each.wait_for_counter("held", 0)
         assert counted(receivers)[f"{mark}-{each.name}"] == 1
 
 
@@ -102,7 +102,7 @@
             assert await controller.accept(receivers.puts("n1")) == 4
             assert await controller.in_force(4) < IN_TIME
             for each in here:
-                assert (await each.figures()).get("configuration_digest_differs", 0) == 0
+                assert (await each.counters()).get("configuration_digest_differs", 0) == 0
             await controller.kill()
 
     run(scenario())
@@ -127,11 +127,11 @@
             await served(here, receivers, "cut")
             await asyncio.sleep(max(0.0, silent_at - time.monotonic()))
             assert [await each.version() for each in here[2:]] == [1, 1]
-            assert (await here[2].figures())["configuration_age_s"] > 4
+            assert (await here[2].counters())["configuration_age_s"] > 4
             await controller.accept(removal("n1"))
             relay.cut = False
             assert await controller.in_force(4) < IN_TIME
-            assert (await here[2].figures())["configuration_age_s"] < 3
+            assert (await here[2].counters())["configuration_age_s"] < 3
             await controller.kill()
         await relay.stop()
 
@@ -235,7 +235,8 @@
                 for place in range(0, len(names), 18):
                     some = enumerate(names[place : place + 18])
                     puts = (
-                        here[number % 3].put(name, to=("north", "south")[number % 2]) for number, name in some
+                        here[number % 3].submit(name, destination=("north", "south")[number % 2])
+                        for number, name in some
                     )
                     assert set(await asyncio.gather(*puts)) == {b"OK"}
                     await asyncio.sleep(0.04)
@@ -250,7 +251,7 @@
                 await asyncio.sleep(0.2)
             await task
             for each in here:
-                await each.until("held", 0)
+                await each.wait_for_counter("held", 0)
             assert moves >= 4
             assert counted(receivers) == Counter(names)
             assert not [each for each in here if (each.folder / "state" / "undelivered.jsonl").exists()]
@@ -264,7 +265,7 @@
         controller = ControllerProcess(tmp_path / "c")
         async with followers(tmp_path, NAMES, [controller.address], 4) as (receivers, here):
             await started(controller, receivers, here)
-            puts = asyncio.gather(*(each.put(f"{each.name}-{n}") for each in here for n in range(100)))
+            puts = asyncio.gather(*(each.submit(f"{each.name}-{n}") for each in here for n in range(100)))
             began = time.monotonic()
             for number in range(100):
                 await controller.accept(Change(puts=(receivers.entry("s1", rate=1.0 + number),)))
@@ -272,7 +273,7 @@
             print(f"burst of 100: in force on 4 after {time.monotonic() - began:.2f} s")
             assert set(await puts) == {b"OK"}
             for each in here:
-                await each.until("held", 0)
+                await each.wait_for_counter("held", 0)
             assert counted(receivers) == Counter(f"{each.name}-{n}" for each in here for n in range(100))
             await controller.kill()
 
--- a/tests/test_handover_rules.py
+++ b/tests/test_handover_rules.py
@@ -1,4 +1,4 @@
-"""Rules and limits across a hand-over: two real processes, judged by the receivers' records alone."""
+"""Rules and limits across a handover: two real processes, checked by the receivers' records alone."""
 
 from __future__ import annotations
 
@@ -8,76 +8,73 @@
 from pathlib import Path
 
 import pytest
-from handover import KEY_REST, hand_over, run
+from handover import KEY_COOLDOWN, handover_rig, run
 
-from laureldock.rehearsal.rule_checks import TAKEN
-from laureldock.rehearsal.stub_receivers import Fault
+from laureldock.rehearsal.rule_checks import ACCEPTED
+from laureldock.rehearsal.stub_receivers import FaultPeriod
 
 
 def test_a_message_accepted_right_after_one_of_its_key_by_the_other_process_waits(tmp_path: Path) -> None:
-    """31 to 38 ms apart in the report; here as close as the reply allows."""
+    """The reported messages were 31 to 38 ms apart; here they are as close as the reply allows."""
 
     async def scenario() -> None:
-        async with hand_over(tmp_path) as rig:
-            old = await rig.launch()
-            await rig.connect(old)
-            new = await rig.launch()
-            await rig.connect(new)
-            for place in range(6):
-                first, then = (old, new) if place % 2 else (new, old)
-                assert await rig.put(first, f"a{place}", f"k{place}") == TAKEN
-                assert await rig.put(then, f"b{place}", f"k{place}") == TAKEN
-            names = [f"{part}{place}" for place in range(6) for part in "ab"]
-            await rig.until_delivered(*names)
-            assert not rig.broken(), rig.details(rig.broken())
+        async with handover_rig(tmp_path) as rig:
+            previous = await rig.launch()
+            await rig.connect(previous)
+            next_process = await rig.launch()
+            await rig.connect(next_process)
+            for index in range(6):
+                first, second = (previous, next_process) if index % 2 else (next_process, previous)
+                assert await rig.submit(first, f"a{index}", f"k{index}") == ACCEPTED
+                assert await rig.submit(second, f"b{index}", f"k{index}") == ACCEPTED
+            names = [f"{part}{index}" for index in range(6) for part in "ab"]
+            await rig.wait_delivered(*names)
+            assert not rig.violations(), rig.details(rig.violations())
             assert "invariant violated" not in rig.log
 
     run(scenario())
 
 
 def test_a_message_whose_predecessor_waits_for_its_window_waits_too(tmp_path: Path) -> None:
-    """The first was in the old process's file for half a second when the second was called."""
+    """The first had been in the previous process's file for half a second when the second was sent."""
 
     async def scenario() -> None:
-        async with hand_over(tmp_path, {"n1": "north"}, pace=0.4) as rig:
-            old = await rig.launch()
-            await rig.connect(old)
-            new = await rig.launch()
-            await rig.connect(new)
-            for process, name in (
-                (old, "f0"),
-                (new, "f1"),
-                (old, "f2"),
-            ):  # a destination's window is one at first
-                assert await rig.put(process, name, queue_class="notice") == TAKEN
-            assert await rig.put(old, "m1", "k") == TAKEN
-            assert await rig.put(new, "m2", "k") == TAKEN
-            await rig.until_delivered("m1", "m2")
-            assert not rig.broken("order"), (rig.broken(), rig.calls("m1"), rig.calls("m2"))
+        async with handover_rig(tmp_path, {"n1": "north"}, call_time=0.4) as rig:
+            previous = await rig.launch()
+            await rig.connect(previous)
+            next_process = await rig.launch()
+            await rig.connect(next_process)
+            # The window of a destination is one at first.
+            for process, name in ((previous, "f0"), (next_process, "f1"), (previous, "f2")):
+                assert await rig.submit(process, name, queue_class="notice") == ACCEPTED
+            assert await rig.submit(previous, "m1", "k") == ACCEPTED
+            assert await rig.submit(next_process, "m2", "k") == ACCEPTED
+            await rig.wait_delivered("m1", "m2")
+            assert not rig.violations("order"), (rig.violations(), rig.calls("m1"), rig.calls("m2"))
 
     run(scenario())
 
 
-def test_a_key_rests_after_a_call_that_a_kill_has_broken(tmp_path: Path) -> None:
-    """The call may still run; what comes next of its key waits as after a reset."""
+def test_a_key_cools_down_after_a_call_that_a_kill_interrupted(tmp_path: Path) -> None:
+    """The call may still run; the next message of its key waits as after a reset."""
 
     async def scenario() -> None:
-        async with hand_over(tmp_path, pace=0.25) as rig:
-            old = await rig.launch()
-            await rig.connect(old)
-            new = await rig.launch()
-            await rig.connect(new)
-            assert await rig.put(old, "m1", "k") == TAKEN
-            assert await rig.put(new, "m2", "k") == TAKEN
+        async with handover_rig(tmp_path, call_time=0.25) as rig:
+            previous = await rig.launch()
+            await rig.connect(previous)
+            next_process = await rig.launch()
+            await rig.connect(next_process)
+            assert await rig.submit(previous, "m1", "k") == ACCEPTED
+            assert await rig.submit(next_process, "m2", "k") == ACCEPTED
             while not rig.calls("m1"):
                 await asyncio.sleep(0.005)
-            old.send(signal.SIGKILL)
-            await old.ended()
-            await rig.until_delivered("m1", "m2")
+            previous.send_signal(signal.SIGKILL)
+            await previous.wait_ended()
+            await rig.wait_delivered("m1", "m2")
             broken_at = rig.calls("m1")[0][1]
             assert rig.calls("m1")[0][2] == 0, "the kill came too late to break the call"
-            assert not rig.broken("order"), (rig.broken(), rig.calls("m1"), rig.calls("m2"))
-            assert rig.calls("m2")[0][0] >= broken_at + KEY_REST - 0.02
+            assert not rig.violations("order"), (rig.violations(), rig.calls("m1"), rig.calls("m2"))
+            assert rig.calls("m2")[0][0] >= broken_at + KEY_COOLDOWN - 0.02
             assert "invariant violated" not in rig.log
 
     run(scenario())
@@ -85,141 +82,147 @@
 
 def test_the_order_of_a_key_holds_where_clients_alternate_until_the_old_process_ends(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with hand_over(tmp_path, pace=0.1) as rig:
-            old = await rig.launch()
-            await rig.connect(old)
-            new = await rig.launch()
-            await rig.connect(new)
+        async with handover_rig(tmp_path, call_time=0.1) as rig:
+            previous = await rig.launch()
+            await rig.connect(previous)
+            next_process = await rig.launch()
+            await rig.connect(next_process)
 
             async def one_key(key: str) -> None:
-                for place in range(6):
-                    name = f"{key}-{place}"
-                    assert await rig.put((old, new)[place % 2], name, key) == TAKEN
+                for index in range(6):
+                    name = f"{key}-{index}"
+                    assert await rig.submit((previous, next_process)[index % 2], name, key) == ACCEPTED
 
             for key in ("k1", "k2", "k3"):
                 await one_key(key)
-            old.send(signal.SIGTERM)
-            await old.ended()
-            names = [f"{key}-{place}" for key in ("k1", "k2", "k3") for place in range(6)]
-            await rig.until_delivered(*names, within=20)
-            assert not rig.broken(), rig.details(rig.broken())
+            previous.send_signal(signal.SIGTERM)
+            await previous.wait_ended()
+            names = [f"{key}-{index}" for key in ("k1", "k2", "k3") for index in range(6)]
+            await rig.wait_delivered(*names, timeout=20)
+            assert not rig.violations(), rig.details(rig.violations())
             assert "invariant violated" not in rig.log
 
     run(scenario())
 
 
-def test_what_waits_at_a_planned_stop_is_left_to_the_next_process(tmp_path: Path) -> None:
-    """Most of it was handed back with no call, though the next process was there to take it over."""
+def test_messages_queued_at_a_planned_stop_are_left_to_the_next_process(tmp_path: Path) -> None:
+    """Most messages were handed back without a call, though the next process could take them over."""
 
     async def scenario() -> None:
-        async with hand_over(tmp_path, {"n1": "north"}, pace=0.3, rate=4.0) as rig:
-            old = await rig.launch()
-            await rig.connect(old)
-            names = [f"m{place}" for place in range(16)]
+        async with handover_rig(tmp_path, {"n1": "north"}, call_time=0.3, rate=4.0) as rig:
+            previous = await rig.launch()
+            await rig.connect(previous)
+            names = [f"m{index}" for index in range(16)]
             for name in names:
-                assert await rig.put(old, name, queue_class="notice") == TAKEN
+                assert await rig.submit(previous, name, queue_class="notice") == ACCEPTED
             await rig.launch()
-            old.send(signal.SIGTERM)
-            await old.ended()
+            previous.send_signal(signal.SIGTERM)
+            await previous.wait_ended()
             undelivered = rig.folder / "state" / "undelivered.jsonl"
             assert not undelivered.exists() or not undelivered.read_text()
-            await rig.until_delivered(*names, within=20)
+            await rig.wait_delivered(*names, timeout=20)
 
     run(scenario())
 
 
-def test_two_processes_have_no_more_calls_out_than_one_may(tmp_path: Path) -> None:
-    """Five attempts of a message went in 15 ms on 'all slots taken', since each counted its own alone."""
+def test_two_processes_together_stay_within_the_slots_of_one(tmp_path: Path) -> None:
+    """Each process counted only its own calls: a message used five attempts in 15 ms on 'all slots taken'."""
 
     async def scenario() -> None:
-        names = {f"n{place}": f"d{place // 2}" for place in range(8)}
-        async with hand_over(tmp_path, names, pace=0.25, slots=8) as rig:
-            old = await rig.launch()
-            await rig.connect(old)
-            handed = []
-            for place in range(32):
-                handed.append(f"o{place}")
-                assert await rig.put(old, f"o{place}", "", "notice", f"d{place % 4}") == TAKEN
-            new = await rig.launch()
-            await rig.connect(new)
-            for place in range(24):
-                handed.append(f"n{place}")
-                assert await rig.put(new, f"n{place}", "", "notice", f"d{place % 4}") == TAKEN
-            old.send(signal.SIGTERM)
-            await old.ended()
-            await rig.until_delivered(*handed, within=20)
-            assert 6 <= rig.most_out() <= 8, rig.most_out()
+        names = {f"n{index}": f"d{index // 2}" for index in range(8)}
+        async with handover_rig(tmp_path, names, call_time=0.25, slots=8) as rig:
+            previous = await rig.launch()
+            await rig.connect(previous)
+            submitted = []
+            for index in range(32):
+                submitted.append(f"o{index}")
+                assert await rig.submit(previous, f"o{index}", "", "notice", f"d{index % 4}") == ACCEPTED
+            next_process = await rig.launch()
+            await rig.connect(next_process)
+            for index in range(24):
+                submitted.append(f"n{index}")
+                assert await rig.submit(next_process, f"n{index}", "", "notice", f"d{index % 4}") == ACCEPTED
+            previous.send_signal(signal.SIGTERM)
+            await previous.wait_ended()
+            await rig.wait_delivered(*submitted, timeout=20)
+            assert 6 <= rig.max_in_flight() <= 8, rig.max_in_flight()
             assert "invariant violated" not in rig.log
 
     run(scenario())
 
 
 @pytest.mark.parametrize("names", [{"n1": "north"}, {"n1": "north", "n2": "north"}], ids=["route", "routes"])
-def test_two_processes_have_no_more_calls_out_to_a_receiver_than_its_window(
+def test_two_processes_together_stay_within_the_window_of_a_receiver(
     tmp_path: Path, names: dict[str, str]
 ) -> None:
-    """As operators set it: each process once had a window of its own."""
+    """The window is set by operators; each process used to apply it to its own calls only."""
 
     async def scenario() -> None:
-        async with hand_over(tmp_path, names, pace=0.2, limits="window = 4\n") as rig:
-            old = await rig.launch()
-            await rig.connect(old)
-            new = await rig.launch()
-            await rig.connect(new)
-            handed = []
-            for place in range(48):
-                handed.append(f"m{place}")
-                assert await rig.put((old, new)[place % 2], f"m{place}", "", "notice") == TAKEN
+        async with handover_rig(tmp_path, names, call_time=0.2, limits="window = 4\n") as rig:
+            previous = await rig.launch()
+            await rig.connect(previous)
+            next_process = await rig.launch()
+            await rig.connect(next_process)
+            submitted = []
+            for index in range(48):
+                submitted.append(f"m{index}")
+                assert (
+                    await rig.submit((previous, next_process)[index % 2], f"m{index}", "", "notice")
+                    == ACCEPTED
+                )
             await asyncio.sleep(1.0)
-            old.send(signal.SIGTERM)
-            await old.ended()
-            await rig.until_delivered(*handed, within=20)
-            assert rig.most_out() == 4
+            previous.send_signal(signal.SIGTERM)
+            await previous.wait_ended()
+            await rig.wait_delivered(*submitted, timeout=20)
+            assert rig.max_in_flight() == 4
             assert "invariant violated" not in rig.log
 
     run(scenario())
 
 
-def test_a_receiver_that_returns_during_a_hand_over_is_not_pushed_over(tmp_path: Path) -> None:
-    """The next process knew nothing of the outage that the last one had seen."""
+def test_a_receiver_that_recovers_during_a_handover_is_not_overloaded(tmp_path: Path) -> None:
+    """The next process did not know of the outage that the previous one had seen."""
 
     async def scenario() -> None:
-        async with hand_over(tmp_path, {"n1": "north"}, pace=0.02, rate=20.0) as rig:
-            old = await rig.launch()
-            await rig.connect(old)
+        async with handover_rig(tmp_path, {"n1": "north"}, call_time=0.02, rate=20.0) as rig:
+            previous = await rig.launch()
+            await rig.connect(previous)
             receiver = rig.receivers["n1"]
             began = time.time()
-            receiver.began = began
-            receiver.faults.append(Fault("down", 0.5, 3.0))
+            receiver.started_at = began
+            receiver.faults.append(FaultPeriod("down", 0.5, 3.0))
             outage = asyncio.create_task(receiver.run())
-            taking = old
-            for place in range(90):
-                await asyncio.sleep(max(0.0, began + place / 15 - time.time()))
-                if place == 30:
-                    new = await rig.launch()
-                    await rig.connect(new)
-                if place == 50 and outage.done():  # it is back; what the next process has, it has been told
-                    old.send(signal.SIGTERM)
-                    taking = new
-                assert await rig.put(taking, f"m{place}", "", "notice") == TAKEN
-            assert taking is new
-            await rig.until_delivered(*(f"m{place}" for place in range(90)), within=20)
-            assert rig.account.colds and not rig.broken("returning"), rig.broken()
+            accepting = previous
+            for index in range(90):
+                await asyncio.sleep(max(0.0, began + index / 15 - time.time()))
+                if index == 30:
+                    next_process = await rig.launch()
+                    await rig.connect(next_process)
+                # The receiver has recovered; the next process knows of the outage only from the previous one.
+                if index == 50 and outage.done():
+                    previous.send_signal(signal.SIGTERM)
+                    accepting = next_process
+                assert await rig.submit(accepting, f"m{index}", "", "notice") == ACCEPTED
+            assert accepting is next_process
+            await rig.wait_delivered(*(f"m{index}" for index in range(90)), timeout=20)
+            assert rig.record.slow_starts and not rig.violations("returning"), rig.violations()
 
     run(scenario())
 
 
-def test_an_id_that_comes_again_to_the_other_process_is_sent_once(tmp_path: Path) -> None:
+def test_an_id_submitted_again_to_the_other_process_is_sent_once(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with hand_over(tmp_path, pace=0.3) as rig:
-            old = await rig.launch()
-            await rig.connect(old)
-            new = await rig.launch()
-            await rig.connect(new)
-            assert await rig.put(old, "m1", "k") == TAKEN
-            assert await rig.put(new, "m1", "k") == "-ERR"
-            await rig.until_delivered("m1")
-            assert await rig.put(new, "m1", "k") == "-ERR"  # over there, a moment ago
+        async with handover_rig(tmp_path, call_time=0.3) as rig:
+            previous = await rig.launch()
+            await rig.connect(previous)
+            next_process = await rig.launch()
+            await rig.connect(next_process)
+            assert await rig.submit(previous, "m1", "k") == ACCEPTED
+            assert await rig.submit(next_process, "m1", "k") == "-ERR"
+            await rig.wait_delivered("m1")
+            assert (
+                await rig.submit(next_process, "m1", "k") == "-ERR"
+            )  # it finished a moment ago in the previous process
             await asyncio.sleep(0.5)
             assert len(rig.calls("m1")) == 1
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The dispatcher as a process, on loopback, with one server of our own as receiver, list and notices."""
+"""The dispatcher as a process on loopback, with one stub server as receiver, endpoint list and notices."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     slow: threading.Event
 
     def do_GET(self) -> None:
-        time.sleep(int(self.path.rpartition("wait_ms=")[2]) / 1000)  # no news
+        time.sleep(int(self.path.rpartition("wait_ms=")[2]) / 1000)  # the list does not change
         self.reply(200, b'{"seq":1,"whole":false,"hosts":[]}')
 
     def do_POST(self) -> None:
@@ -48,7 +48,7 @@
         self.wfile.write(body)
 
     def log_message(self, *args: Any) -> None:
-        """Quiet."""
+        """Log nothing."""
 
 
 @pytest.fixture
@@ -79,10 +79,10 @@
             self.port = free.getsockname()[1]
         address = f"127.0.0.1:{platform.server_port}"
         hosts = {**Quay.hosts("1"), "hosts": [{**Quay.hosts("1")["hosts"][0], "dial": address}]}
-        told = {"name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": address, "seed": "7"}
+        fields = {"name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": address, "seed": "7"}
         limits = {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 1}
         config = folder / "config.json"
-        config.write_text(json.dumps({**told, "limits": limits, "known": hosts, "settings": SETTINGS}))
+        config.write_text(json.dumps({**fields, "limits": limits, "known": hosts, "settings": SETTINGS}))
 
         (folder / "state").mkdir()
         self.environ = {
@@ -112,18 +112,18 @@
         except ConnectionRefusedError:
             return b""
 
-    def put(self, name: str, sort: str, body: str, link: socket.socket | None = None) -> bytes:
-        return self.ask(Quay.command("MSG.PUT", "0", name, f"c={sort},d=9000,dest=7", body), link=link)
+    def put(self, name: str, queue_class: str, body: str, link: socket.socket | None = None) -> bytes:
+        return self.ask(Quay.command("MSG.PUT", "0", name, f"c={queue_class},d=9000,dest=7", body), link=link)
 
 
-def until(true: Callable[[], bool]) -> None:
+def until(condition: Callable[[], bool]) -> None:
     end = time.monotonic() + 20
-    while not true():
-        assert time.monotonic() < end, "it did not come about"
+    while not condition():
+        assert time.monotonic() < end, "the condition was not met within 20 s"
         time.sleep(0.02)
 
 
-def test_killed_and_stopped_processes_keep_what_they_owe(
+def test_killed_and_stopped_processes_keep_pending_messages(
     tmp_path: Path, platform: ThreadingHTTPServer
 ) -> None:
     process = Process(tmp_path, platform)
@@ -150,13 +150,13 @@
             assert process.child.wait(10) == 0
             assert time.monotonic() - began < 3.7
         assert process.child.stdout
-        told = [json.loads(line) for line in process.child.stdout]
-        assert [line["event"] for line in told] == [
+        logged = [json.loads(line) for line in process.child.stdout]
+        assert [line["event"] for line in logged] == [
             "starting", "ready", "configuration read", "counters", "stopping", "stopped"
         ]  # fmt: skip
-        assert told[3]["taken"] == 1 and told[5]["taken"] == 2
-        over = [*Platform.relayed, *(json.loads(line)["message"] for line in Platform.notices)]
-        assert "m3" in over and "m4" in over
+        assert logged[3]["taken"] == 1 and logged[5]["taken"] == 2
+        finished = [*Platform.relayed, *(json.loads(line)["message"] for line in Platform.notices)]
+        assert "m3" in finished and "m4" in finished
 
         command = [sys.executable, "-m", "laureldock", "spool", str(tmp_path / "state")]
         assert subprocess.run(command, capture_output=True, check=True).stdout == b""
@@ -164,45 +164,47 @@
         process.child.kill()
 
 
-class OneStream(Process):
+class MergedOutputProcess(Process):
     stderr = subprocess.STDOUT
 
 
-def test_signals_in_series_end_it_once_and_in_order(tmp_path: Path, platform: ThreadingHTTPServer) -> None:
-    """A second SIGTERM left a trace in the log: the reactor was told to stop while it stopped."""
-    process = OneStream(tmp_path, platform)
+def test_repeated_signals_stop_the_process_once_and_in_order(
+    tmp_path: Path, platform: ThreadingHTTPServer
+) -> None:
+    """A second SIGTERM left a traceback in the log: the reactor was stopped while it was stopping."""
+    process = MergedOutputProcess(tmp_path, platform)
     try:
         assert process.put("m1", "news", "slow") == b"+OK\r\n"
         until(lambda: b"out:1" in process.ask(b"INFO\r\n"))
-        for sign in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM):
-            process.child.send_signal(sign)
+        for number in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM):
+            process.child.send_signal(number)
             time.sleep(0.05)
         Platform.slow.set()
         assert process.child.wait(10) == 0
         assert process.child.stdout
         lines = process.child.stdout.read().decode().splitlines()
-        events = [json.loads(line)["event"] for line in lines]  # a trace would be no JSON
+        events = [json.loads(line)["event"] for line in lines]  # a traceback would not be JSON
         assert events.count("stopping") == events.count("stopped") == 1
         assert Platform.relayed == ["m1"]
     finally:
         process.child.kill()
 
 
-def test_what_clients_gave_up_during_a_stall_is_not_sent(
+def test_messages_withdrawn_during_a_stall_are_not_sent(
     tmp_path: Path, platform: ThreadingHTTPServer
 ) -> None:
-    """A process that wakes reads the requests before their closes; all of them were once sent."""
+    """A resumed process reads requests before it sees their connections closed; it used to send them all."""
     process = Process(tmp_path, platform)
     try:
-        kept = process.open()
-        assert process.put("m0", "news", "quick", kept) == b"+OK\r\n"
-        until(lambda: Platform.relayed == ["m0"])  # from here on a connection stands ready
+        first = process.open()
+        assert process.put("m0", "news", "quick", first) == b"+OK\r\n"
+        until(lambda: Platform.relayed == ["m0"])  # from here on there is an idle connection
         process.child.send_signal(signal.SIGSTOP)
-        links = [kept, *(process.open() for _ in range(6))]
-        for number, link in enumerate(links):
-            link.sendall(Quay.command("MSG.PUT", "0", f"s{number}", "c=news,d=9000,dest=7", "quick"))
+        connections = [first, *(process.open() for _ in range(6))]
+        for index, link in enumerate(connections):
+            link.sendall(Quay.command("MSG.PUT", "0", f"s{index}", "c=news,d=9000,dest=7", "quick"))
         time.sleep(0.4)
-        for link in links:
+        for link in connections:
             link.close()
         process.child.send_signal(signal.SIGCONT)
         until(lambda: b"clients:1" in process.ask(b"INFO\r\n"))
@@ -213,50 +215,51 @@
         process.child.kill()
 
 
-def test_a_crowd_of_clients_leaves_sockets_for_all_else(
-    tmp_path: Path, platform: ThreadingHTTPServer
-) -> None:
-    """All that had come were accepted at once, past the limit of sockets, and requests closed unheard."""
+def test_many_clients_leave_sockets_for_other_uses(tmp_path: Path, platform: ThreadingHTTPServer) -> None:
+    """All waiting clients were accepted at once, beyond the limit of sockets, and requests were closed
+    without a reply."""
     process = Process(tmp_path, platform)
-    crowd = []
+    connections = []
     try:
         process.child.send_signal(signal.SIGSTOP)
-        for number in range(240):
-            crowd.append(process.open())
-            crowd[-1].sendall(Quay.command("MSG.PUT", "0", f"m{number}", "c=news,d=9000,dest=7", "quick"))
+        for index in range(240):
+            connections.append(process.open())
+            connections[-1].sendall(
+                Quay.command("MSG.PUT", "0", f"m{index}", "c=news,d=9000,dest=7", "quick")
+            )
         process.child.send_signal(signal.SIGCONT)
-        most = 0
-        for link in crowd:
+        max_descriptors = 0
+        for link in connections:
             link.settimeout(5)
             assert link.recv(64)[:4] in (b"+OK\r", b"-BUS")
-            most = max(most, len(os.listdir(f"/proc/{process.child.pid}/fd")))
-        assert most <= 200  # of 256
+            max_descriptors = max(max_descriptors, len(os.listdir(f"/proc/{process.child.pid}/fd")))
+        assert max_descriptors <= 200  # of 256
     finally:
         process.child.kill()
-        for link in crowd:
+        for link in connections:
             link.close()
 
 
-@pytest.mark.parametrize("spoil", ["LB_STATE", "LB_CONFIG", "settings", "known", "seed"])
-def test_bad_start_settings_end_it_with_a_plain_line(
-    spoil: str, tmp_path: Path, platform: ThreadingHTTPServer
+@pytest.mark.parametrize("invalid", ["LB_STATE", "LB_CONFIG", "settings", "known", "seed"])
+def test_invalid_startup_settings_end_it_with_a_one_line_error(
+    invalid: str, tmp_path: Path, platform: ThreadingHTTPServer
 ) -> None:
     process = Process(tmp_path, platform)
     process.child.kill()
     process.child.wait(10)
     config = Path(process.environ["LB_CONFIG"])
-    if spoil.startswith("LB_"):
-        process.environ[spoil] = str(tmp_path / "nowhere")
+    if invalid.startswith("LB_"):
+        process.environ[invalid] = str(tmp_path / "nowhere")
     else:
-        config.write_text(json.dumps({**json.loads(config.read_text()), spoil: {"hosts": 5}}))
+        config.write_text(json.dumps({**json.loads(config.read_text()), invalid: {"hosts": 5}}))
     command = [sys.executable, "-m", "laureldock", "serve"]
-    done = subprocess.run(command, env=process.environ, capture_output=True, text=True, timeout=20)
+    result = subprocess.run(command, env=process.environ, capture_output=True, text=True, timeout=20)
 
-    assert done.returncode > 0
-    assert done.stderr.startswith("Error: cannot start: ") and "Traceback" not in done.stderr
+    assert result.returncode > 0
+    assert result.stderr.startswith("Error: cannot start: ") and "Traceback" not in result.stderr
 
 
-def test_a_platforms_settings_that_fail_the_check_are_told_and_hold(
+def test_questionable_platform_settings_are_logged_and_applied(
     tmp_path: Path, platform: ThreadingHTTPServer
 ) -> None:
     process = Process(tmp_path, platform)
@@ -264,9 +267,9 @@
         process.child.kill()
         process.child.wait(10)
         config = Path(process.environ["LB_CONFIG"])
-        told = json.loads(config.read_text())
-        del told["settings"]["limits"]["conn_idle_ns"]
-        config.write_text(json.dumps(told))
+        document = json.loads(config.read_text())
+        del document["settings"]["limits"]["conn_idle_ns"]
+        config.write_text(json.dumps(document))
         process.start()
         assert process.put("m1", "news", "quick") == b"+OK\r\n"
         until(lambda: Platform.relayed == ["m1"])
@@ -274,7 +277,7 @@
         process.child.wait(10)
         assert process.child.stdout
         lines = [json.loads(line) for line in process.child.stdout]
-        doubts = [line["faults"] for line in lines if line["event"] == "settings questionable"]
-        assert doubts == [["limits.idle_time: no kept connection could be used"]]
+        warnings = [line["faults"] for line in lines if line["event"] == "settings questionable"]
+        assert warnings == [["limits.idle_time: no kept connection could be used"]]
     finally:
         process.child.kill()
