--- a/tests/test_served.py
+++ b/tests/test_served.py
@@ -1,4 +1,4 @@
-"""A dispatcher by its configuration file: independent clients, and reloads in the middle of traffic."""
+"""A dispatcher with a configuration file: independent clients, and reloads under load."""
 
 from __future__ import annotations
 
@@ -29,61 +29,67 @@
     asyncio.run(scenario)
 
 
-def counted(here: Daemon) -> Counter[str]:
-    return Counter(call.mail for call in here.account.calls)
+def call_counts(here: Daemon) -> Counter[str]:
+    return Counter(call.message for call in here.record.calls)
 
 
-def told(here: Daemon, event: str) -> list[dict[str, Any]]:
+def logged(here: Daemon, event: str) -> list[dict[str, Any]]:
     lines = [json.loads(line) for line in (here.folder / "log").read_text().splitlines()]
     return [line for line in lines if line["event"] == event]
 
 
-def test_a_reload_in_the_middle_of_a_thousand_mails_loses_none_and_doubles_none(tmp_path: Path) -> None:
+def test_a_reload_under_load_loses_and_repeats_no_message(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with daemon(tmp_path, NAMES, pace=0.15) as here:
+        async with daemon(tmp_path, NAMES, call_time=0.15) as here:
             names = [f"m{number}" for number in range(1000)]
-            places = ("north", "south")
-            puts = (here.put(name, to=places[number % 2]) for number, name in enumerate(names))
-            assert set(await asyncio.gather(*puts)) == {b"OK"}
-            while (now := await here.figures())["out"] < 60:
+            destinations = ("north", "south")
+            submissions = (
+                here.submit(name, destination=destinations[number % 2]) for number, name in enumerate(names)
+            )
+            assert set(await asyncio.gather(*submissions)) == {b"OK"}
+            while (now := await here.counters())["out"] < 60:
                 await asyncio.sleep(0.02)
             assert now["held"] > 300
-            here.write('[[terms]]\nclass = "news"\nconnects = 2\ntime_out = "20s"\n', without="n2")
-            here.hang_up()
-            await here.until("configurations_read", 1)
+            here.write_configuration(
+                '[[terms]]\nclass = "news"\nconnects = 2\ntime_out = "20s"\n', without="n2"
+            )
+            here.reload()
+            await here.wait_for_counter("configurations_read", 1)
             drained = time.time()
-            await here.until("held", 0)
-            assert counted(here) == Counter(names)
-            late = [
-                call for call in here.account.calls if call.receiver == "n2" and call.first > drained + 0.5
+            await here.wait_for_counter("held", 0)
+            assert call_counts(here) == Counter(names)
+            late_calls = [
+                call
+                for call in here.record.calls
+                if call.receiver == "n2" and call.first_byte_at > drained + 0.5
             ]
-            assert not late, [call.first - drained for call in late]
-            assert any(call.receiver == "n2" for call in here.account.calls)
+            assert not late_calls, [call.first_byte_at - drained for call in late_calls]
+            assert any(call.receiver == "n2" for call in here.record.calls)
             assert not (tmp_path / "state" / "undelivered.jsonl").exists()
 
     run(scenario())
 
 
-def test_an_endpoint_that_a_reload_moves_serves_its_new_destination_alone(tmp_path: Path) -> None:
-    """Its route stayed its old destination's, and would have been sent what is for others."""
+def test_an_endpoint_that_a_reload_moves_serves_its_new_destination_only(tmp_path: Path) -> None:
+    """Its route stayed with the old destination, and would have been sent messages for that one."""
 
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as here:
             here.receivers["n1"].destination = "south"
-            here.write()
-            here.hang_up()
-            await here.until("configurations_read", 1)
+            here.write_configuration()
+            here.reload()
+            await here.wait_for_counter("configurations_read", 1)
             for number in range(40):
-                assert await here.put(f"m{number}", to=("north", "south")[number % 2]) == b"OK"
-            await here.until("held", 0)
-            seen = {name: Counter(int(c.mail[1:]) % 2 for c in here.account.calls if c.receiver == name)
+                assert await here.submit(f"m{number}", destination=("north", "south")[number % 2]) == b"OK"
+            await here.wait_for_counter("held", 0)
+            parities = {name: Counter(int(c.message[1:]) % 2 for c in here.record.calls if c.receiver == name)
                     for name in NAMES}  # fmt: skip
-            assert set(seen["n1"]) == {1} and seen["n2"] == {0: 20} and seen["s1"][0] == 0
+            assert set(parities["n1"]) == {1} and parities["n2"] == {0: 20} and parities["s1"][0] == 0
 
     run(scenario())
 
 
-def test_a_file_that_is_no_configuration_is_refused_and_all_stays(tmp_path: Path) -> None:
+def test_an_invalid_file_is_refused_and_the_old_configuration_stays(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as here:
             good = here.file.read_text()
@@ -94,58 +100,58 @@
                     here.file.mkdir()
                 else:
                     here.file.write_text(text)
-                here.hang_up()
-                await here.until("configurations_refused", count)
-                assert await here.put(f"m{count}") == b"OK"
+                here.reload()
+                await here.wait_for_counter("configurations_refused", count)
+                assert await here.submit(f"m{count}") == b"OK"
             here.file.rmdir()
-            here.hang_up()  # gone altogether
-            await here.until("configurations_refused", 7)
-            await here.until("relayed", 6)
-            reasons = [line["faults"] for line in told(here, "configuration not read, the old one stays")]
+            here.reload()  # there is no file
+            await here.wait_for_counter("configurations_refused", 7)
+            await here.wait_for_counter("relayed", 6)
+            reasons = [line["faults"] for line in logged(here, "configuration not read, the old one stays")]
             assert "class.charge.lifetime cannot change while it runs" in reasons[3]
             assert "cannot be read: Is a directory" in reasons[5][0] and all(reasons)
 
     run(scenario())
 
 
-def test_hang_ups_ten_times_a_second_during_traffic_do_no_harm(tmp_path: Path) -> None:
+def test_ten_reloads_a_second_under_load_lose_and_repeat_no_message(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with daemon(tmp_path, NAMES, pace=0.05) as here:
+        async with daemon(tmp_path, NAMES, call_time=0.05) as here:
             names = [f"m{number}" for number in range(300)]
 
-            async def hang_ups() -> None:
+            async def reload_repeatedly() -> None:
                 for number in range(30):
-                    here.write(
+                    here.write_configuration(
                         f"[destination.north]\nwindow = {number + 1}\n", without="n1" if number % 2 else ""
                     )
-                    here.hang_up()
+                    here.reload()
                     await asyncio.sleep(0.1)
 
-            busy = asyncio.create_task(hang_ups())
+            reloading = asyncio.create_task(reload_repeatedly())
             for name in names:
-                assert await here.put(name, "charge" if name.endswith("3") else "news") == b"OK"
+                assert await here.submit(name, "charge" if name.endswith("3") else "news") == b"OK"
                 await asyncio.sleep(0.008)
-            await busy
-            await here.until("held", 0)
-            assert counted(here) == Counter(names)
-            assert (await here.figures())["configurations_read"] >= 20
+            await reloading
+            await here.wait_for_counter("held", 0)
+            assert call_counts(here) == Counter(names)
+            assert (await here.counters())["configurations_read"] >= 20
 
     run(scenario())
 
 
 @pytest.mark.parametrize("parser", [_RESP2Parser, _HiredisParser])
-def test_redis_clients_find_what_they_expect(tmp_path: Path, parser: Any) -> None:
+def test_redis_clients_work(tmp_path: Path, parser: Any) -> None:
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as here:
-            await asyncio.to_thread(converse, here.port, parser)
-            await here.until("relayed", 130)
-            assert all(count == 1 for count in counted(here).values()) and len(counted(here)) == 130
+            await asyncio.to_thread(use_redis_client, here.port, parser)
+            await here.wait_for_counter("relayed", 130)
+            assert all(count == 1 for count in call_counts(here).values()) and len(call_counts(here)) == 130
 
     run(scenario())
 
 
-def converse(port: int, parser: Any) -> None:
-    """As a client program would: a pool, a pipeline, and commands that this is no database for."""
+def use_redis_client(port: int, parser: Any) -> None:
+    """Use a client as programs do: with a pool, a pipeline, and database commands, which are refused."""
     pool = redis.ConnectionPool(
         port=port, protocol=2, parser_class=parser, client_name="till", max_connections=4
     )
@@ -176,25 +182,25 @@
         redis.Redis(port=port, protocol=3).ping()
 
 
-def test_who_repeats_what_is_turned_away_is_closed(tmp_path: Path) -> None:
+def test_a_client_with_repeated_errors_is_disconnected(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as here:
             reader, writer = await asyncio.open_connection("127.0.0.1", here.port)
             writer.write(Quay.command("SNEEZE") * 200)
-            answers = (await asyncio.wait_for(reader.read(), 5)).split(b"\r\n")
-            assert answers[-2] == b"-ERR too many errors" and len(answers) == 18
-            assert len(told(here, "malformed request")) <= 20
+            replies = (await asyncio.wait_for(reader.read(), 5)).split(b"\r\n")
+            assert replies[-2] == b"-ERR too many errors" and len(replies) == 18
+            assert len(logged(here, "malformed request")) <= 20
             writer.close()
 
     run(scenario())
 
 
-def test_a_listener_that_is_taken_and_a_state_of_the_version_before(tmp_path: Path) -> None:
+def test_a_port_in_use_is_an_error_and_an_existing_spool_is_read(tmp_path: Path) -> None:
     """A spool of the present format is read wherever the program was started."""
 
     async def scenario() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            port = taken.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as occupied:
+            port = occupied.getsockname()[1]
             file = tmp_path / "taken.toml"
             file.write_text(HEAD.format(port=port) + '[[endpoint]]\ndestination = "north"\naddress = "h:1"\n')
             command = [
@@ -206,16 +212,16 @@
                 "--state",
                 str(tmp_path / "other"),
             ]
-            done = subprocess.run(command, capture_output=True, text=True, timeout=20, check=False)
-        assert done.returncode == 1 and done.stderr.startswith("Error: cannot listen")
-        assert "Traceback" not in done.stderr
+            result = subprocess.run(command, capture_output=True, text=True, timeout=20, check=False)
+        assert result.returncode == 1 and result.stderr.startswith("Error: cannot listen")
+        assert "Traceback" not in result.stderr
         (tmp_path / "state").mkdir()
         spool = Spool(tmp_path / "state", 1e6)
         spool.open()
         spool.take(StoredMessage(b"old", None, "news", "", b"", "north", time.monotonic() + 20, b"hello"))
         spool.close()
         async with daemon(tmp_path, NAMES) as here:
-            await here.until("relayed", 1)
-            assert counted(here) == Counter(["old"])
+            await here.wait_for_counter("relayed", 1)
+            assert call_counts(here) == Counter(["old"])
 
     run(scenario())
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -21,7 +21,7 @@
 from laureldock.core.messages import StoredMessage
 from laureldock.logs import LossyStream
 from laureldock.outlets.lines import LineFile, Lines
-from laureldock.rehearsal.soak.system_calls import Fault, SystemCalls, Window
+from laureldock.rehearsal.soak.system_calls import FaultInjector, FaultWindow, SystemCallFault
 from laureldock.stores.spool import Spool
 from laureldock.stores.spool_records import encode_message, encode_record
 
@@ -29,9 +29,11 @@
 
 
 @contextmanager
-def failing(folder: Path, fault: Fault, seed: int = 1, share: float = 1.0) -> Iterator[SystemCalls]:
+def failing(
+    folder: Path, fault: SystemCallFault, seed: int = 1, share: float = 1.0
+) -> Iterator[FaultInjector]:
     """The disk below a folder fails."""
-    calls = SystemCalls(folder, seed, [Window(fault, -inf, inf, share)])
+    calls = FaultInjector(folder, seed, [FaultWindow(fault, -inf, inf, share)])
     calls.install()
     try:
         yield calls
@@ -92,7 +94,7 @@
         quay = Quay(folder, monkeypatch)
         quay.late = {"1"}
         told = {}
-        with failing(quay.state, Fault.DISK_ERROR, seed, 0.5):
+        with failing(quay.state, SystemCallFault.DISK_ERROR, seed, 0.5):
             for number in range(140):
                 client = quay.client(f"client-{number}")
                 quay.put(client, f"m{number:03}", "charge", left=3000)
@@ -122,7 +124,7 @@
     spool = Spool(tmp_path, 1e6)
     spool.open()
     taken = []
-    with failing(tmp_path, Fault.DISK_SHORT, share=0.5):
+    with failing(tmp_path, SystemCallFault.DISK_SHORT, share=0.5):
         for number in range(100):
             name = b"m%d" % number
             if spool.take(StoredMessage(name, None, "news", "x", b"", 7, 1e12, bytes(50 + number))):
@@ -138,7 +140,7 @@
     assert spool.take(message(b"m0", b""))
     forged, _ = encode_record(encode_message(message(b"forged", b"")), 0)
     failed, _ = encode_record(encode_message(message(b"m2", forged * 3)), 0)
-    with failing(tmp_path, Fault.DISK_ERROR):
+    with failing(tmp_path, SystemCallFault.DISK_ERROR):
         assert not spool.take(message(b"m2", b""))
     os.pwrite(spool.file, failed[:-1], spool.size)
     assert spool.take(message(b"m1", b""))
@@ -200,7 +202,10 @@
     path.write_bytes(b'{"message":"m0"}\n{"mess')  # as a kill may leave it
     core = Notices()
     lines = Lines(core, path)
-    with failing(tmp_path, Fault.DISK_ERROR, share=0.7), failing(tmp_path, Fault.DISK_SHORT, share=0.7):
+    with (
+        failing(tmp_path, SystemCallFault.DISK_ERROR, share=0.7),
+        failing(tmp_path, SystemCallFault.DISK_SHORT, share=0.7),
+    ):
         for number in range(1, 60):
             name = b"m%d" % number
             lines.put(name, b'{"message":"%s"}\n' % name)
@@ -227,7 +232,7 @@
     """A pause of a second before the next try made an end late by that much."""
     core = Notices()
     lines = Lines(core, tmp_path / "undelivered.jsonl")
-    with failing(tmp_path, Fault.DISK_ERROR):
+    with failing(tmp_path, SystemCallFault.DISK_ERROR):
         lines.put(b"m1", b'{"message":"m1"}\n')
         core.run()
     assert not core.taken and core.pause <= 0.1
@@ -242,7 +247,7 @@
     quay = Quay(tmp_path, monkeypatch)
     quay.late = {"1"}
     quay.put(quay.client(), "m1")
-    with failing(quay.state, Fault.DISK_ERROR):
+    with failing(quay.state, SystemCallFault.DISK_ERROR):
         quay.late = set()
         quay.after(2.0)
         assert quay.dispatcher.records.failing
@@ -272,7 +277,7 @@
     quay = Quay(tmp_path, monkeypatch)
     quay.put(quay.client(), "m1", "order", "key")
     stopped: list[None] = []
-    with failing(quay.state, Fault.DISK_ERROR):
+    with failing(quay.state, SystemCallFault.DISK_ERROR):
         quay.answer("1", "200 OK")
         quay.assembly.stop().addCallback(stopped.append)
         quay.after(2.0)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -23,7 +23,7 @@
 from laureldock.fronts.resp import Client
 from laureldock.rehearsal.scripted_run import free_port, new_lines
 from laureldock.rehearsal.soak.faulty_process import FaultPlan
-from laureldock.rehearsal.soak.system_calls import Fault, Window
+from laureldock.rehearsal.soak.system_calls import FaultWindow, SystemCallFault
 from laureldock.stores.spool import Spool
 
 NAMES = {"n1": "north", "n2": "north"}
@@ -34,7 +34,7 @@
     asyncio.run(scenario)
 
 
-async def launch(here: Daemon, *windows: Window) -> None:
+async def launch(here: Daemon, *windows: FaultWindow) -> None:
     """Start the dispatcher again, with calls that fail."""
     await here.kill()
     plan = here.folder / "faults.json"
@@ -44,7 +44,7 @@
     log = (here.folder / "log").open("ab")
     here.process = await asyncio.create_subprocess_exec(*command, stdout=log, stderr=log)
     log.close()
-    await here.ready()
+    await here.wait_ready()
 
 
 def test_a_process_started_while_the_disk_fails_serves_what_is_owed_and_what_comes(tmp_path: Path) -> None:
@@ -62,18 +62,18 @@
                 assert spool.take(StoredMessage(name.encode(), None, "news", "", b"", "north", end, b"hello"))
                 spool.close()
             began = time.monotonic()
-            await launch(here, Window(Fault.DISK_ERROR, began, began + 3.0))
+            await launch(here, FaultWindow(SystemCallFault.DISK_ERROR, began, began + 3.0))
             until = time.monotonic() + 8
             while True:
                 try:
-                    await here.put("new")
+                    await here.submit("new")
                     break
                 except redis.ResponseError as refused:
                     assert str(refused).startswith("BUSY")
                     assert time.monotonic() < until
                     await asyncio.sleep(0.1)
-            await here.until("relayed", 1 + len(owed))
-            assert Counter(call.mail for call in here.account.calls) == Counter(["new", *owed])
+            await here.wait_for_counter("relayed", 1 + len(owed))
+            assert Counter(call.message for call in here.record.calls) == Counter(["new", *owed])
 
     for number, owed in enumerate(([], ["old"])):
         folder = tmp_path / str(number)
@@ -90,11 +90,11 @@
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as here:
             if operators:
-                here.write(head=f'management = "127.0.0.1:{free_port()}"\n' + HEAD)
+                here.write_configuration(head=f'management = "127.0.0.1:{free_port()}"\n' + HEAD)
             now = time.monotonic()
-            await launch(here, Window(Fault.SOCKET, now, now + 2.0))
-            await here.put("m1")
-            await here.until("relayed", 1)
+            await launch(here, FaultWindow(SystemCallFault.SOCKET, now, now + 2.0))
+            await here.submit("m1")
+            await here.wait_for_counter("relayed", 1)
 
     run(scenario())
 
@@ -102,41 +102,41 @@
 @pytest.mark.parametrize(
     ("fault", "share"),
     [
-        (Fault.ACCEPT, 0.5),
-        (Fault.SOCKET, 0.5),
-        (Fault.CONNECT, 0.5),
-        (Fault.SHORT, 1.0),
-        (Fault.DISK_ERROR, 0.3),
-        (Fault.DISK_SHORT, 0.5),
+        (SystemCallFault.ACCEPT, 0.5),
+        (SystemCallFault.SOCKET, 0.5),
+        (SystemCallFault.CONNECT, 0.5),
+        (SystemCallFault.SHORT, 1.0),
+        (SystemCallFault.DISK_ERROR, 0.3),
+        (SystemCallFault.DISK_SHORT, 0.5),
     ],
 )
 def test_what_is_accepted_is_delivered_once_while_calls_fail(
-    tmp_path: Path, fault: Fault, share: float
+    tmp_path: Path, fault: SystemCallFault, share: float
 ) -> None:
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as here:
             now = time.monotonic()
-            await launch(here, Window(fault, now + 1.2, now + 9.0, share))
+            await launch(here, FaultWindow(fault, now + 1.2, now + 9.0, share))
             await asyncio.sleep(max(0.0, now + 1.2 - time.monotonic()))
             accepted = []
             for number in range(60):
                 name = f"m{number:02}"
                 try:
-                    await here.put(name, ("news", "charge")[number % 2])
+                    await here.submit(name, ("news", "charge")[number % 2])
                 except redis.ResponseError as refused:
                     assert str(refused).startswith("BUSY")
                 else:
                     accepted.append(name)
             assert len(accepted) > 20
-            await here.until("held", 0)
+            await here.wait_for_counter("held", 0)
             # Where half of all connects fail, one message in 250 finds no connection in all its attempts:
             # it has had no call, and is handed back, for that reason alone.
             lines, _ = new_lines(tmp_path / "state" / "undelivered.jsonl", 0)
             handed_back = [json.loads(line) for line in lines]
-            spent = (await here.figures()).get("deferred_no_attempt_left", 0)
-            assert len(handed_back) == spent <= (1 if fault is Fault.CONNECT else 0)
+            spent = (await here.counters()).get("deferred_no_attempt_left", 0)
+            assert len(handed_back) == spent <= (1 if fault is SystemCallFault.CONNECT else 0)
             assert all(each["outcome"] == "handed_back" for each in handed_back)
-            ended = [call.mail for call in here.account.calls] + [each["message"] for each in handed_back]
+            ended = [call.message for call in here.record.calls] + [each["message"] for each in handed_back]
             assert Counter(ended) == Counter(accepted)
 
     run(scenario())
