--- /dev/null
+++ b/laureldock/rehearsal/soak/soak_result.py
@@ -0,0 +1,36 @@
+"""Result of the soak of one dispatcher."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from laureldock.rehearsal.rule_checks import RuleResult
+
+
+@dataclass(slots=True)
+class SoakResult:
+    """Result of the soak of one dispatcher."""
+
+    name: str
+    seed: int
+    submitted: int = 0
+    accepted: int = 0
+    delivered: int = 0
+    restarts: int = 0
+    handovers: int = 0
+    faults: list[str] = field(default_factory=list)
+    rule_results: list[RuleResult] = field(default_factory=list)
+    invariant_violations: int = 0  # as the dispatcher's processes logged them
+    errors: list[str] = field(default_factory=list)  # crashes, exceptions, processes that ended too late
+    # Seconds for which this process, and so its stub receivers, was not scheduled, at most.
+    longest_stall: float = 0.0
+    longest_stall_at: float = 0.0  # when it began, in seconds from the start of the load
+    message_histories: list[str] = field(default_factory=list)  # of each message that violated a rule
+
+    @property
+    def failures(self) -> list[str]:
+        """Rule violations, invariant violations and errors."""
+        found = [f"{each.rule}: {case}" for each in self.rule_results for case in each.violations]
+        if self.invariant_violations:
+            found.append(f"{self.invariant_violations} invariant violations; see the log")
+        return found + self.errors
--- a/tests/test_controlled.py
+++ b/tests/test_controlled.py
@@ -20,7 +20,7 @@
 from msgspec import structs
 from test_process import Process, platform
 
-from laureldock.rehearsal.play import free_port
+from laureldock.rehearsal.scripted_run import free_port
 from laureldock.replication.messages import ChangeMessage, InForce, Subscribe
 from laureldock.setup import plan
 from laureldock.setup.changes import Change, TermsEntry
@@ -36,7 +36,7 @@
 
 
 def deliveries(receivers: Receivers) -> Counter[str]:
-    return Counter(call.mail for call in receivers.account.calls)
+    return Counter(call.message for call in receivers.account.calls)
 
 
 async def wait_until(condition: Any, seconds: float = 10.0) -> None:
@@ -59,17 +59,17 @@
             dispatcher.extra = f'management = "127.0.0.1:{management}"\n'
             text = dispatcher.file.read_text()
             dispatcher.file.write_text(dispatcher.extra + text)
-            await dispatcher.spawn()
+            await dispatcher.start_process()
             await asyncio.sleep(1.0)
             with pytest.raises((OSError, redis.RedisError)):
                 await dispatcher.client.ping()
             controller.state.accept(receivers.puts("n1", "s1"))
             await controller.start()
-            await dispatcher.ready()
-            assert await dispatcher.put("m1") == b"OK"
-            await dispatcher.until("held", 0)
+            await dispatcher.wait_ready()
+            assert await dispatcher.submit("m1") == b"OK"
+            await dispatcher.wait_for_counter("held", 0)
             assert deliveries(receivers) == Counter(["m1"])
-            figures = await dispatcher.figures()
+            figures = await dispatcher.counters()
             assert figures["configuration_version"] == 1 and figures["configuration_refused"] == 0
             assert figures["configuration_epoch"] == 7
             await wait_until(lambda: "configuration_age_s" in get(management, "/_vars"), 5.0)
@@ -83,9 +83,9 @@
             elapsed = await dispatcher.until_version(version)
             assert elapsed < 2
             for number in range(20):
-                assert await dispatcher.put(f"x{number}") == b"OK"
-            await dispatcher.until("held", 0)
-            assert {call.receiver for call in receivers.account.calls if call.mail != "m1"} == {"n2"}
+                assert await dispatcher.submit(f"x{number}") == b"OK"
+            await dispatcher.wait_for_counter("held", 0)
+            assert {call.receiver for call in receivers.account.calls if call.message != "m1"} == {"n2"}
             assert controller.versions("d1") == [1, 2]
             await controller.stop()
 
@@ -103,7 +103,7 @@
         async with followers(tmp_path, NAMES, [controller.address]) as (receivers, [dispatcher]):
             await controller.start()
             for _ in range(2):
-                await dispatcher.spawn()
+                await dispatcher.start_process()
                 await wait_until(lambda: "d1" in controller.streams)
                 await asyncio.sleep(0.5)
                 with pytest.raises((OSError, redis.RedisError)):
@@ -111,12 +111,12 @@
                 await dispatcher.end()
                 await wait_until(lambda: "d1" not in controller.streams)
             assert any(isinstance(message, InForce) for _, message in controller.received)
-            await dispatcher.spawn()
+            await dispatcher.start_process()
             await wait_until(lambda: "d1" in controller.streams)
             controller.accept(receivers.puts())
-            await dispatcher.ready()
-            assert await dispatcher.put("m1") == b"OK"
-            await dispatcher.until("held", 0)
+            await dispatcher.wait_ready()
+            assert await dispatcher.submit("m1") == b"OK"
+            await dispatcher.wait_for_counter("held", 0)
             await controller.stop()
 
     run(scenario())
@@ -139,22 +139,24 @@
             await asyncio.sleep(2.1)
             await controller.stop()
             await asyncio.sleep(1.0)
-            assert await dispatcher.put("before") == b"OK"
-            await dispatcher.until("held", 0)  # killed before that, it would send the message again
+            assert await dispatcher.submit("before") == b"OK"
+            await dispatcher.wait_for_counter(
+                "held", 0
+            )  # killed before that, it would send the message again
             for number in (signal.SIGKILL, signal.SIGTERM):
                 await dispatcher.end(number)
                 began = time.monotonic()
                 await dispatcher.launch()
                 assert time.monotonic() - began < 5
-                figures = await dispatcher.figures()
+                figures = await dispatcher.counters()
                 assert figures["configuration_version"] == 7 and figures["configuration_age_s"] >= 1.0
-                assert await dispatcher.put(f"after-{number.name}", to="south") == b"OK"
-                await dispatcher.until("held", 0)
+                assert await dispatcher.submit(f"after-{number.name}", destination="south") == b"OK"
+                await dispatcher.wait_for_counter("held", 0)
             await controller.start()
             controller.accept(removal("n2"))
             await dispatcher.until_version(8)
             await asyncio.sleep(2.1)
-            assert (await dispatcher.figures())["configuration_age_s"] < 3
+            assert (await dispatcher.counters())["configuration_age_s"] < 3
             subscriptions = [each for _, each in controller.received if isinstance(each, Subscribe)]
             assert subscriptions[-1].position.version == 7  # no snapshot was requested
             assert deliveries(receivers) == Counter(["before", "after-SIGKILL", "after-SIGTERM"])
@@ -171,7 +173,10 @@
             async def load() -> None:
                 for place in range(0, len(names), 20):
                     some = enumerate(names[place : place + 20])
-                    puts = (dispatcher.put(name, to=("north", "south")[number % 2]) for number, name in some)
+                    puts = (
+                        dispatcher.submit(name, destination=("north", "south")[number % 2])
+                        for number, name in some
+                    )
                     assert set(await asyncio.gather(*puts)) == {b"OK"}
                     await asyncio.sleep(0.03)
 
@@ -185,7 +190,7 @@
                 await dispatcher.until_version(controller.state.position.version)
                 await asyncio.sleep(0.25)
             await task
-            await dispatcher.until("held", 0)
+            await dispatcher.wait_for_counter("held", 0)
             assert moves >= 4 and moved
             assert deliveries(receivers) == Counter(names)
             assert not (dispatcher.folder / "state" / "undelivered.jsonl").exists()
@@ -200,14 +205,16 @@
             controller.state.accept(receivers.puts())
             await controller.start()
             await asyncio.gather(*(each.launch() for each in dispatchers))
-            puts = asyncio.gather(*(each.put(f"{each.name}-{n}") for each in dispatchers for n in range(200)))
+            puts = asyncio.gather(
+                *(each.submit(f"{each.name}-{n}") for each in dispatchers for n in range(200))
+            )
             for number in range(100):
                 controller.accept(Change(puts=(receivers.entry("s1", rate=1.0 + number),)))
             elapsed = await asyncio.gather(*(each.until_version(101) for each in dispatchers))
             assert max(elapsed) < 5
             assert set(await puts) == {b"OK"}
             for each in dispatchers:
-                await each.until("held", 0)
+                await each.wait_for_counter("held", 0)
                 assert controller.versions(each.name) == list(range(1, 102))
             assert deliveries(receivers) == Counter(
                 f"{each.name}-{n}" for each in dispatchers for n in range(200)
@@ -249,7 +256,7 @@
                 if version != 5:  # version 5 is lost, which is detected with the next one
                     await dispatcher.until_version(version, 2.0)
             assert controller.versions("d1") == list(range(1, 7))
-            figures = await dispatcher.figures()
+            figures = await dispatcher.counters()
             assert figures["configuration_change_spoilt"] == 2
             assert figures["configuration_change_repeated"] >= 1
             assert figures.get("faults", 0) == 0
@@ -269,9 +276,9 @@
             await wait_until(lambda: "d1" in controller.streams)
             controller.accept(removal("n2"))
             await dispatcher.until_version(2)
-            assert (await dispatcher.figures())["configuration_malformed_message"] == 4
-            assert await dispatcher.put("m1") == b"OK"
-            await dispatcher.until("held", 0)
+            assert (await dispatcher.counters())["configuration_malformed_message"] == 4
+            assert await dispatcher.submit("m1") == b"OK"
+            await dispatcher.wait_for_counter("held", 0)
 
     run(scenario())
 
@@ -305,15 +312,15 @@
             await new.until_version(3)
             await wait_until(lambda: len(controller.refusals("d2")) == 2)
             assert [each.position.version for each in controller.refusals("d2")] == [2, 3]
-            figures = await old.figures()
+            figures = await old.counters()
             assert figures["configuration_version"] == 1 and figures["configuration_refused"] == 2
-            assert await old.put("m1", to="south") == b"OK"  # its configuration stays in force
+            assert await old.submit("m1", destination="south") == b"OK"  # its configuration stays in force
             await old.end(signal.SIGTERM)
             await old.launch()
             await wait_until(lambda: len(controller.refusals("d2")) == 4)
             controller.accept(Change(removals=(change_with_new_class(receivers).puts[1].key,)))
             await old.until_version(4)  # the refused changes are applied with the one that corrects them
-            assert (await old.figures())["configuration_refused"] == 0
+            assert (await old.counters())["configuration_refused"] == 0
             await new.until_version(4)
             await wait_until(lambda: controller.versions("d2")[-1] == controller.versions("d1")[-1] == 4)
             await controller.stop()
@@ -332,7 +339,7 @@
             await dispatcher.end(signal.SIGTERM)
             await dispatcher.launch()
             await dispatcher.until_version(2)
-            assert (await dispatcher.figures())["configuration_refused"] == 0
+            assert (await dispatcher.counters())["configuration_refused"] == 0
 
     run(scenario())
 
@@ -351,7 +358,7 @@
             await dispatcher.end(signal.SIGTERM)
             dispatcher.extra = ""
             dispatcher.write_file()
-            await dispatcher.spawn()
+            await dispatcher.start_process()
             await wait_until(lambda: controller.refusals("d1"))
             with pytest.raises((OSError, redis.RedisError)):  # no part of what was stored is in force
                 await dispatcher.client.ping()
@@ -372,8 +379,8 @@
             await wait_until(lambda: controller.refusals("d1"))
             assert "cannot be read" in controller.refusals("d1")[0].faults[0].reason
             assert await dispatcher.version() == 1
-            assert await dispatcher.put("m1") == b"OK"
-            await dispatcher.until("held", 0)
+            assert await dispatcher.submit("m1") == b"OK"
+            await dispatcher.wait_for_counter("held", 0)
             await dispatcher.end()
             await dispatcher.launch()  # the refused change is not on disk either
             assert await dispatcher.version() == 1
@@ -392,7 +399,7 @@
             controller.accept(Change(puts=(TermsEntry("class=news", terms),)))
             await dispatcher.until_version(2)
             await receivers.by_name["n1"].stop()
-            response = await asyncio.gather(dispatcher.put("m1"), return_exceptions=True)
+            response = await asyncio.gather(dispatcher.submit("m1"), return_exceptions=True)
             assert response[0] == b"OK" or "BUSY" in str(response[0]) or "ERR" in str(response[0])
             await controller.stop()
 
@@ -419,11 +426,11 @@
 
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as dispatcher:
-            assert await dispatcher.put("m1") == b"OK"
-            dispatcher.write(without="n2")
-            dispatcher.hang_up()
-            await dispatcher.until("configurations_read", 1)
-            assert not [name for name in await dispatcher.figures() if name.startswith("configuration_")]
+            assert await dispatcher.submit("m1") == b"OK"
+            dispatcher.write_configuration(without="n2")
+            dispatcher.reload()
+            await dispatcher.wait_for_counter("configurations_read", 1)
+            assert not [name for name in await dispatcher.counters() if name.startswith("configuration_")]
             names = imported((tmp_path / "log").read_text())
             assert "laureldock.assembly" in names
             assert not [name for name in names if name.startswith(REPLICATION_MODULES)]
--- a/tests/test_controlled_faults.py
+++ b/tests/test_controlled_faults.py
@@ -17,18 +17,10 @@
 from typing import Any
 
 import pytest
-from followers import (
-    ControllerProcess,
-    CuttableRelay,
-    Follower,
-    Receivers,
-    RejectedError,
-    followers,
-    removal,
-)
+from followers import ControllerProcess, CuttableRelay, Follower, Receivers, RejectedError, followers, removal
 from test_controlled import FRESH_CLASS, NAMES, change_with_new_class, deliveries, run, wait_until
 
-from laureldock.rehearsal.play import free_port
+from laureldock.rehearsal.scripted_run import free_port
 from laureldock.setup import plan
 from laureldock.setup.changes import Change, EndpointEntry
 from laureldock.setup.units import Address
@@ -47,9 +39,9 @@
 async def check_served(dispatchers: list[Follower], receivers: Receivers, prefix: str) -> None:
     """Put a message to each dispatcher, and check that it is relayed once."""
     for each in dispatchers:
-        assert await each.put(f"{prefix}-{each.name}") == b"OK"
+        assert await each.submit(f"{prefix}-{each.name}") == b"OK"
     for each in dispatchers:
-        await each.until("held", 0)
+        await each.wait_for_counter("held", 0)
         assert deliveries(receivers)[f"{prefix}-{each.name}"] == 1
 
 
@@ -104,7 +96,7 @@
             assert await controller.accept(receivers.puts("n1")) == 4
             assert await controller.in_force(4) < SETTLE_TIME
             for each in dispatchers:
-                assert (await each.figures()).get("configuration_digest_differs", 0) == 0
+                assert (await each.counters()).get("configuration_digest_differs", 0) == 0
             await controller.kill()
 
     run(scenario())
@@ -129,11 +121,11 @@
             await check_served(dispatchers, receivers, "cut")
             await asyncio.sleep(max(0.0, silent_at - time.monotonic()))
             assert [await each.version() for each in dispatchers[2:]] == [1, 1]
-            assert (await dispatchers[2].figures())["configuration_age_s"] > 4
+            assert (await dispatchers[2].counters())["configuration_age_s"] > 4
             await controller.accept(removal("n1"))
             relay.cut = False
             assert await controller.in_force(4) < SETTLE_TIME
-            assert (await dispatchers[2].figures())["configuration_age_s"] < 3
+            assert (await dispatchers[2].counters())["configuration_age_s"] < 3
             await controller.kill()
         await relay.stop()
 
@@ -237,7 +229,7 @@
                 for index in range(0, len(names), 18):
                     some = enumerate(names[index : index + 18])
                     puts = (
-                        dispatchers[number % 3].put(name, to=("north", "south")[number % 2])
+                        dispatchers[number % 3].submit(name, destination=("north", "south")[number % 2])
                         for number, name in some
                     )
                     assert set(await asyncio.gather(*puts)) == {b"OK"}
@@ -253,7 +245,7 @@
                 await asyncio.sleep(0.2)
             await task
             for each in dispatchers:
-                await each.until("held", 0)
+                await each.wait_for_counter("held", 0)
             assert moves >= 4
             assert deliveries(receivers) == Counter(names)
             assert not [
@@ -269,7 +261,9 @@
         controller = ControllerProcess(tmp_path / "c")
         async with followers(tmp_path, NAMES, [controller.address], 4) as (receivers, dispatchers):
             await start_all(controller, receivers, dispatchers)
-            puts = asyncio.gather(*(each.put(f"{each.name}-{n}") for each in dispatchers for n in range(100)))
+            puts = asyncio.gather(
+                *(each.submit(f"{each.name}-{n}") for each in dispatchers for n in range(100))
+            )
             started_at = time.monotonic()
             for number in range(100):
                 await controller.accept(Change(puts=(receivers.entry("s1", rate=1.0 + number),)))
@@ -277,7 +271,7 @@
             print(f"burst of 100: in force on 4 after {time.monotonic() - started_at:.2f} s")
             assert set(await puts) == {b"OK"}
             for each in dispatchers:
-                await each.until("held", 0)
+                await each.wait_for_counter("held", 0)
             assert deliveries(receivers) == Counter(
                 f"{each.name}-{n}" for each in dispatchers for n in range(100)
             )
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -21,7 +21,7 @@
 from laureldock.core.messages import StoredMessage
 from laureldock.logs import LossyStream
 from laureldock.outlets.lines import LineFile, LineOutlet
-from laureldock.rehearsal.soak.system_calls import Fault, SystemCalls, Window
+from laureldock.rehearsal.soak.system_calls import FaultInjector, FaultWindow, SystemCallFault
 from laureldock.stores.spool import Spool
 from laureldock.stores.spool_records import encode_message, encode_record
 
@@ -29,9 +29,11 @@
 
 
 @contextmanager
-def failing(folder: Path, fault: Fault, seed: int = 1, share: float = 1.0) -> Iterator[SystemCalls]:
+def failing(
+    folder: Path, fault: SystemCallFault, seed: int = 1, share: float = 1.0
+) -> Iterator[FaultInjector]:
     """Make calls on the disk of a folder fail."""
-    calls = SystemCalls(folder, seed, [Window(fault, -inf, inf, share)])
+    calls = FaultInjector(folder, seed, [FaultWindow(fault, -inf, inf, share)])
     calls.install()
     try:
         yield calls
@@ -96,7 +98,7 @@
         dispatcher = InMemoryDispatcher(folder, monkeypatch)
         dispatcher.not_connecting = {"1"}
         replies = {}
-        with failing(dispatcher.folder, Fault.DISK_ERROR, seed, 0.5):
+        with failing(dispatcher.folder, SystemCallFault.DISK_ERROR, seed, 0.5):
             for number in range(140):
                 client = dispatcher.connect_client(f"client-{number}")
                 dispatcher.put(client, f"m{number:03}", "charge", lifetime=3000)
@@ -126,7 +128,7 @@
     spool = Spool(tmp_path, 1e6)
     spool.open()
     accepted = []
-    with failing(tmp_path, Fault.DISK_SHORT, share=0.5):
+    with failing(tmp_path, SystemCallFault.DISK_SHORT, share=0.5):
         for number in range(100):
             name = b"m%d" % number
             if spool.accept(StoredMessage(name, None, "news", "x", b"", 7, 1e12, bytes(50 + number))):
@@ -142,7 +144,7 @@
     assert spool.accept(message(b"m0", b""))
     forged, _ = encode_record(encode_message(message(b"forged", b"")), 0)
     failed, _ = encode_record(encode_message(message(b"m2", forged * 3)), 0)
-    with failing(tmp_path, Fault.DISK_ERROR):
+    with failing(tmp_path, SystemCallFault.DISK_ERROR):
         assert not spool.accept(message(b"m2", b""))
     os.pwrite(spool.file, failed[:-1], spool.size)
     assert spool.accept(message(b"m1", b""))
@@ -206,7 +208,10 @@
     path.write_bytes(b'{"message":"m0"}\n{"mess')  # as a kill may leave it
     core = StubCore()
     lines = LineOutlet(core, path)
-    with failing(tmp_path, Fault.DISK_ERROR, share=0.7), failing(tmp_path, Fault.DISK_SHORT, share=0.7):
+    with (
+        failing(tmp_path, SystemCallFault.DISK_ERROR, share=0.7),
+        failing(tmp_path, SystemCallFault.DISK_SHORT, share=0.7),
+    ):
         for number in range(1, 60):
             name = b"m%d" % number
             lines.send_notice(name, b'{"message":"%s"}\n' % name)
@@ -233,7 +238,7 @@
     """A retry after a whole second once made notices late by that much."""
     core = StubCore()
     lines = LineOutlet(core, tmp_path / "undelivered.jsonl")
-    with failing(tmp_path, Fault.DISK_ERROR):
+    with failing(tmp_path, SystemCallFault.DISK_ERROR):
         lines.send_notice(b"m1", b'{"message":"m1"}\n')
         core.run()
     assert not core.acknowledged and core.last_delay <= 0.1
@@ -248,7 +253,7 @@
     dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
     dispatcher.not_connecting = {"1"}
     dispatcher.put(dispatcher.connect_client(), "m1")
-    with failing(dispatcher.folder, Fault.DISK_ERROR):
+    with failing(dispatcher.folder, SystemCallFault.DISK_ERROR):
         dispatcher.not_connecting = set()
         dispatcher.advance(2.0)
         assert dispatcher.core.record_keeping.failing
@@ -278,7 +283,7 @@
     dispatcher = InMemoryDispatcher(tmp_path, monkeypatch)
     dispatcher.put(dispatcher.connect_client(), "m1", "order", "key")
     stopped: list[None] = []
-    with failing(dispatcher.folder, Fault.DISK_ERROR):
+    with failing(dispatcher.folder, SystemCallFault.DISK_ERROR):
         dispatcher.respond("1", "200 OK")
         dispatcher.assembly.stop().addCallback(stopped.append)
         dispatcher.advance(2.0)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -21,9 +21,9 @@
 
 from laureldock.core.messages import StoredMessage
 from laureldock.fronts.resp import ClientConnection
-from laureldock.rehearsal.play import free_port, new_lines
+from laureldock.rehearsal.scripted_run import free_port, new_lines
 from laureldock.rehearsal.soak.faulty_process import FaultPlan
-from laureldock.rehearsal.soak.system_calls import Fault, Window
+from laureldock.rehearsal.soak.system_calls import FaultWindow, SystemCallFault
 from laureldock.stores.spool import Spool
 
 NAMES = {"n1": "north", "n2": "north"}
@@ -34,7 +34,7 @@
     asyncio.run(scenario)
 
 
-async def launch(dispatcher: Daemon, *windows: Window) -> None:
+async def launch(dispatcher: Daemon, *windows: FaultWindow) -> None:
     """Start the dispatcher again, with system calls that fail."""
     await dispatcher.kill()
     plan = dispatcher.folder / "faults.json"
@@ -44,7 +44,7 @@
     log = (dispatcher.folder / "log").open("ab")
     dispatcher.process = await asyncio.create_subprocess_exec(*command, stdout=log, stderr=log)
     log.close()
-    await dispatcher.ready()
+    await dispatcher.wait_ready()
 
 
 def test_a_process_started_while_the_disk_fails_serves_pending_and_new_messages(tmp_path: Path) -> None:
@@ -64,18 +64,18 @@
                 )
                 spool.close()
             began = time.monotonic()
-            await launch(dispatcher, Window(Fault.DISK_ERROR, began, began + 3.0))
+            await launch(dispatcher, FaultWindow(SystemCallFault.DISK_ERROR, began, began + 3.0))
             until = time.monotonic() + 8
             while True:
                 try:
-                    await dispatcher.put("new")
+                    await dispatcher.submit("new")
                     break
                 except redis.ResponseError as refused:
                     assert str(refused).startswith("BUSY")
                     assert time.monotonic() < until
                     await asyncio.sleep(0.1)
-            await dispatcher.until("relayed", 1 + len(pending))
-            assert Counter(call.mail for call in dispatcher.account.calls) == Counter(["new", *pending])
+            await dispatcher.wait_for_counter("relayed", 1 + len(pending))
+            assert Counter(call.message for call in dispatcher.record.calls) == Counter(["new", *pending])
 
     for number, pending in enumerate(([], ["old"])):
         folder = tmp_path / str(number)
@@ -92,11 +92,11 @@
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as dispatcher:
             if operators:
-                dispatcher.write(head=f'management = "127.0.0.1:{free_port()}"\n' + HEAD)
+                dispatcher.write_configuration(head=f'management = "127.0.0.1:{free_port()}"\n' + HEAD)
             now = time.monotonic()
-            await launch(dispatcher, Window(Fault.SOCKET, now, now + 2.0))
-            await dispatcher.put("m1")
-            await dispatcher.until("relayed", 1)
+            await launch(dispatcher, FaultWindow(SystemCallFault.SOCKET, now, now + 2.0))
+            await dispatcher.submit("m1")
+            await dispatcher.wait_for_counter("relayed", 1)
 
     run(scenario())
 
@@ -104,41 +104,41 @@
 @pytest.mark.parametrize(
     ("fault", "share"),
     [
-        (Fault.ACCEPT, 0.5),
-        (Fault.SOCKET, 0.5),
-        (Fault.CONNECT, 0.5),
-        (Fault.SHORT, 1.0),
-        (Fault.DISK_ERROR, 0.3),
-        (Fault.DISK_SHORT, 0.5),
+        (SystemCallFault.ACCEPT, 0.5),
+        (SystemCallFault.SOCKET, 0.5),
+        (SystemCallFault.CONNECT, 0.5),
+        (SystemCallFault.SHORT, 1.0),
+        (SystemCallFault.DISK_ERROR, 0.3),
+        (SystemCallFault.DISK_SHORT, 0.5),
     ],
 )
 def test_accepted_messages_are_delivered_once_while_system_calls_fail(
-    tmp_path: Path, fault: Fault, share: float
+    tmp_path: Path, fault: SystemCallFault, share: float
 ) -> None:
     async def scenario() -> None:
         async with daemon(tmp_path, NAMES) as dispatcher:
             now = time.monotonic()
-            await launch(dispatcher, Window(fault, now + 1.2, now + 9.0, share))
+            await launch(dispatcher, FaultWindow(fault, now + 1.2, now + 9.0, share))
             await asyncio.sleep(max(0.0, now + 1.2 - time.monotonic()))
             accepted = []
             for number in range(60):
                 name = f"m{number:02}"
                 try:
-                    await dispatcher.put(name, ("news", "charge")[number % 2])
+                    await dispatcher.submit(name, ("news", "charge")[number % 2])
                 except redis.ResponseError as refused:
                     assert str(refused).startswith("BUSY")
                 else:
                     accepted.append(name)
             assert len(accepted) > 20
-            await dispatcher.until("held", 0)
+            await dispatcher.wait_for_counter("held", 0)
             # If half of all connects fail, one message in 250 gets no connection in all its attempts: it was
             # never sent, and is handed back for that reason alone.
             lines, _ = new_lines(tmp_path / "state" / "undelivered.jsonl", 0)
             handed_back = [json.loads(line) for line in lines]
-            exhausted = (await dispatcher.figures()).get("deferred_no_attempt_left", 0)
-            assert len(handed_back) == exhausted <= (1 if fault is Fault.CONNECT else 0)
+            exhausted = (await dispatcher.counters()).get("deferred_no_attempt_left", 0)
+            assert len(handed_back) == exhausted <= (1 if fault is SystemCallFault.CONNECT else 0)
             assert all(each["outcome"] == "handed_back" for each in handed_back)
-            ended = [call.mail for call in dispatcher.account.calls] + [
+            ended = [call.message for call in dispatcher.record.calls] + [
                 each["message"] for each in handed_back
             ]
             assert Counter(ended) == Counter(accepted)
