--- a/benchmarks/capacity/failures.py
+++ b/benchmarks/capacity/failures.py
@@ -45,19 +45,19 @@
         Failure(
             f"{size.failed_machines} machines on an ordinary day",
             "daily",
-            "their clients connect elsewhere; what they owe waits on their disks and ends undelivered where"
-            " its lifetime is over first",
-            f"{detected}; the mails until the disk is back",
+            "their clients connect elsewhere; their pending messages wait on their disks and end undelivered"
+            " where their lifetime is over first",
+            f"{detected}; the messages until the disk is back",
             *view_traffic(slopes, size, "view 1% fail"),
             "`fleet: suspected`, then `fleet: failed` with the member's name",
-            f"copies of owed mails: {2 * pending / 1e6:.0f} million mails a day wait for two disks",
+            f"copies of pending messages: {2 * pending / 1e6:.0f} million messages a day wait for two disks",
         ),
         Failure(
             f"{size.restarted_machines} restarted or replaced",
             "daily",
             "each leaves the view in order, starts with all destinations and takes over its own spool; one"
             " that was replaced has no spool",
-            f"{started} of processor each, for the destinations alone; owed mails on top",
+            f"{started} of processor each, for the destinations alone; pending messages on top",
             *view_traffic(slopes, size, "view 1% return"),
             "`stopping`, `stopped`, `starting`, `ready`; of the view `fleet: left` and `fleet: joined`, or"
             " `fleet: generation changed`",
@@ -76,11 +76,11 @@
             f"a zone ({size.dispatchers_per_zone:.0f} dispatchers)",
             "every other month",
             f"{size.dispatchers_per_zone / size.dispatchers:.1%} of the clients come to the others;"
-            f" {size.dispatchers_per_zone * pending / 1e9:.1f} billion owed mails wait",
-            detected + "; the mails until the zone is back",
+            f" {size.dispatchers_per_zone * pending / 1e9:.1f} billion pending messages wait",
+            detected + "; the messages until the zone is back",
             *view_traffic(slopes, size, "view 10% fail"),
             "`fleet: failed` for each; `reach` of that site in `laureldock fleet view`",
-            "copies of owed mails in another zone; a controller that lives in no zone alone",
+            "copies of pending messages in another zone; a controller that lives in no zone alone",
         ),
         Failure(
             f"a region out of reach ({size.dispatchers_per_region:.0f} dispatchers), for minutes",
--- a/benchmarks/capacity/first_readings.py
+++ b/benchmarks/capacity/first_readings.py
@@ -53,8 +53,8 @@
             0.08e-3,
             "destination: one setting",
         ),
-        each("memory, an owed mail", "B", 1360, 1360, "owed mail: memory"),
-        each("start, an owed mail", "s", 0.018e-3, 0.018e-3, "owed mail: start"),
+        each("memory, a pending message", "B", 1360, 1360, "owed mail: memory"),
+        each("start, a pending message", "s", 0.018e-3, 0.018e-3, "owed mail: start"),
         *(
             FirstReading(
                 view.format(members),
--- a/benchmarks/capacity/mechanisms.py
+++ b/benchmarks/capacity/mechanisms.py
@@ -28,10 +28,10 @@
 VERSIONED_CHANGES = Mechanism("configuration as versioned changes", "laureldock/sources/controlled.py")
 PLACEMENT = Mechanism("destinations placed on some of the dispatchers")
 DISK_BACKLOG = Mechanism("a backlog that lives on disk")
-SHARED_OUTAGES = Mechanism("what is down, learned once and told")
+SHARED_OUTAGES = Mechanism("outages, learned once and shared")
 VIEWS_BY_REGION = Mechanism("views by region")
 QUORUM = Mechanism("followers and a quorum among the control machines")
-MESSAGE_COPIES = Mechanism("copies of owed mails on other machines")
+MESSAGE_COPIES = Mechanism("copies of pending messages on other machines")
 CONNECTIONS_BY_AGE = Mechanism("kept connections in the order of their age, not by a look at every route")
 MECHANISMS = [
     VERSIONED_CHANGES,
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -116,7 +116,7 @@
         section("A dispatcher: changes from a controller", rows(roles.follower_rows(slopes, size))),
         section("A dispatcher: the view of the fleet", rows(roles.membership_rows(slopes, size))),
         section("A dispatcher: control in sum, on a quiet day", rows(roles.control_total_rows(slopes, size))),
-        section("A dispatcher: mails", rows(roles.message_rows(slopes, size))),
+        section("A dispatcher: messages", rows(roles.message_rows(slopes, size))),
         section("A control machine", rows(roles.controller_rows(slopes, size))),
         section("A receiver", rows(roles.receiver_rows(slopes, size))),
         section("Failures", texts.FAILURES, failed),
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -67,7 +67,7 @@
         "every dispatcher holds all of them",
         "as above, and the file before beside the one after",
     )
-    no_budget = "all in memory; no budget was given for mails"
+    no_budget = "all in memory; no budget was given for messages"
     held = slopes.value_at("owed mail: memory", pending)
     spooled = slopes.value_at("owed mail: disk", pending)
     view = slopes.value_at("view: memory", size.dispatchers)
@@ -80,8 +80,8 @@
         Row("memory, all destinations, after reloads", "B", after, budget, LISTED_SOURCE, twice, PLACEMENT),
         Row("memory, each further endpoint", "B", slopes.per_unit("endpoint: memory"), None, LISTED_SOURCE),
         Row("memory, view of the fleet", "B", view, budget, VIEW),
-        Row("memory, owed mails", "B", held, None, SPOOL, no_budget, DISK_BACKLOG),
-        Row("disk, owed mails", "B", spooled, None, SPOOL, "mails of 200 bytes"),
+        Row("memory, pending messages", "B", held, None, SPOOL, no_budget, DISK_BACKLOG),
+        Row("disk, pending messages", "B", spooled, None, SPOOL, "messages of 200 bytes"),
         Row("disk, the configuration file", "B", file, None, LISTED_SOURCE),
     ]
 
@@ -96,8 +96,8 @@
         Row("start, all destinations", "s", every, None, LISTED_SOURCE, "", PLACEMENT),
         Row("start, each further endpoint", "s", slopes.per_unit("endpoint: start"), None, LISTED_SOURCE),
         Row("start, as a member of the view", "s", member, None, VIEW, "flat from 4 to 32 processes"),
-        Row("start, owed mails, fresh", "s", fresh, None, SPOOL, "", DISK_BACKLOG),
-        Row("start, owed mails, after SIGKILL", "s", killed, None, SPOOL, "", DISK_BACKLOG),
+        Row("start, pending messages, fresh", "s", fresh, None, SPOOL, "", DISK_BACKLOG),
+        Row("start, pending messages, after SIGKILL", "s", killed, None, SPOOL, "", DISK_BACKLOG),
     ]
 
 
@@ -241,7 +241,7 @@
     """Cost of messages, which is not part of the budget for control."""
     idle = slopes.at_largest("destination: idle")
     lost = assumed(
-        size.failed_machines * size.pending_per_dispatcher, "machines that fail x owed mails of each"
+        size.failed_machines * size.pending_per_dispatcher, "machines that fail x pending messages of each"
     )
     messages = assumed(size.events_per_dispatcher, "events over dispatchers")
     idle_connections = (
@@ -252,17 +252,19 @@
     to_down = assumed(down, "events x share down")
     attempts = slopes.per_unit("down: processor").scaled(down).with_basis(Basis.DERIVED)
     opened = (
-        "at 26 minutes between two events every mail opens a connection; once there is no room for more,"
+        "at 26 minutes between two events every message opens a connection; once there is no room for more,"
         " each walks the pools of all routes (`HttpCarrier.make_room`); one thread has one core"
     )
     compared = "for comparison: if events of a destination came to few dispatchers"
     waiting = "held for its lifetime of ten seconds, and tried"
     return [
         Row("processor, idle", "cores", idle, None, DISPATCHER, "at 128,000 destinations"),
-        Row("mails", "a second", messages, None, DISPATCHER),
-        Row("processor, mails, all routes known", "cores", among, None, CARRIER, opened, CONNECTIONS_BY_AGE),
+        Row("messages", "a second", messages, None, DISPATCHER),
         Row(
-            "processor, mails over kept connections",
+            "processor, messages, all routes known", "cores", among, None, CARRIER, opened, CONNECTIONS_BY_AGE
+        ),
+        Row(
+            "processor, messages over kept connections",
             "cores",
             idle_connections,
             None,
@@ -271,17 +273,17 @@
             PLACEMENT,
         ),
         Row(
-            "owed mails on machines that fail",
-            "mails a day",
+            "pending messages on machines that fail",
+            "messages a day",
             lost,
             None,
             NO_MODULE,
             "they wait",
             MESSAGE_COPIES,
         ),
-        Row("mails to destinations that are down", "a second", to_down, None, DELIVERY_POLICY),
+        Row("messages to destinations that are down", "a second", to_down, None, DELIVERY_POLICY),
         Row(
-            "processor, mails to destinations down",
+            "processor, messages to destinations down",
             "cores",
             attempts,
             None,
@@ -311,8 +313,8 @@
         Row("memory, all entries", "B", memory, None, CONTROLLER),
         Row("disk, all entries", "B", disk, None, CONTROLLER, "the snapshot; the log grows to as much again"),
         Row("start, all entries", "s", start, None, CONTROLLER),
-        Row("changes told", "messages a second", messages, None, CONTROLLER),
-        Row("bytes, changes told", "B/s", changes, None, CONTROLLER),
+        Row("changes sent", "messages a second", messages, None, CONTROLLER),
+        Row("bytes, changes sent", "B/s", changes, None, CONTROLLER),
         Row("bytes, streams when still", "B/s", idle_bytes, None, CONTROLLER),
         Row("bytes, snapshots to machines replaced", "B/s", replaced, None, CONTROLLER, empty, PLACEMENT),
         Row("bytes, snapshots to all", "B", snapshots, None, CONTROLLER, "all came empty", PLACEMENT),
--- a/benchmarks/capacity/texts.py
+++ b/benchmarks/capacity/texts.py
@@ -14,8 +14,8 @@
 ## The size
 
 {dispatchers} dispatchers take {events} events a second for {destinations} destinations, {down} of them down
-at any time. Backlogs of up to {backlog} billion mails; {regions} regions, {zones} zones; {changes} changes of
-configuration a day, in force everywhere within {in_force} s. A dispatcher may spend {core} of a core,
+at any time. Backlogs of up to {backlog} billion messages; {regions} regions, {zones} zones; {changes} changes
+of configuration a day, in force everywhere within {in_force} s. A dispatcher may spend {core} of a core,
 {memory} MB and {bytes} KB a second on control; {machines} machines are set aside for it.
 
 In each row: **measured** is a value within the sizes that were measured; **reckoned** goes along the straight
--- a/benchmarks/capacity/thin_load.py
+++ b/benchmarks/capacity/thin_load.py
@@ -26,25 +26,25 @@
         ),
         Row(
             "trials to learn alone that one is down",
-            "connects",
+            "attempts",
             first,
             None,
             DELIVERY_POLICY,
-            "told once, they would be those of one dispatcher; then it is shut until its next event",
+            "if shared, they would be those of one dispatcher; then its circuit is open until its next event",
             SHARED_OUTAGES,
         ),
         Row(
             "trials of each later event, while it is down",
-            "connects a mail",
+            "attempts a message",
             later,
             None,
             DELIVERY_POLICY,
-            "26 minutes are longer than every rest: each mail is a trial",
+            "26 minutes are longer than every backoff: each message is a trial",
             SHARED_OUTAGES,
         ),
         Row(
             "trials until all dispatchers know one outage",
-            "connects",
+            "attempts",
             first.scaled(size.dispatchers).with_basis(Basis.DERIVED),
             None,
             DELIVERY_POLICY,
@@ -91,7 +91,7 @@
             PLACEMENT,
         ),
         Row(
-            "age of a limit that was told, when it is next used",
+            "age of an advertised limit, when it is next used",
             "min",
             assumed(size.event_interval / 60, "the time between two events"),
             None,
@@ -100,7 +100,7 @@
             PLACEMENT,
         ),
         Row(
-            "longest rest of a dispatcher after an outage",
+            "longest backoff of a dispatcher after an outage",
             "s",
             assumed(
                 1.25 * backoff,
@@ -108,7 +108,7 @@
             ),
             None,
             DELIVERY_POLICY,
-            "a mail that comes within it waits although the destination may be back",
+            "a message that comes within it waits although the destination may be back",
             SHARED_OUTAGES,
         ),
     ]
--- a/benchmarks/slopes/thin_load.py
+++ b/benchmarks/slopes/thin_load.py
@@ -27,37 +27,37 @@
 
     def __init__(self) -> None:
         self.now, self.trials = 1000.0, 0
-        self.control = DeliveryPolicy(TARIFF, self.now)
+        self.policy = DeliveryPolicy(TARIFF, self.now)
         kind = interface.DestinationKind(1, True)
         routes = [
             interface.Route(interface.Destination(), "", kind, RATE, interface.ListedState.UP, f"e{each}")
             for each in range(LISTED)
         ]
         self.destination = routes[0].destination
-        self.control.list_updated(self.now, routes, True)
+        self.policy.list_updated(self.now, routes, True)
         self.turn()
 
     def turn(self) -> None:
         refused: list[interface.Attempt] = []
-        for effect in self.control.turn(self.now):
+        for effect in self.policy.turn(self.now):
             match effect:
                 case interface.Attempt():
                     refused.append(effect)
-                case interface.Defer(message=mail) | interface.Bounce(message=mail):
-                    self.control.notice_acknowledged(self.now, mail)
+                case interface.Defer(message=message) | interface.Bounce(message=message):
+                    self.policy.notice_acknowledged(self.now, message)
         for attempt in refused:
             self.trials += 1
             outcome = interface.Outcome(interface.AttemptResult.NO_CONNECTION, REFUSED_AFTER)
-            self.control.attempt_ended(self.now + REFUSED_AFTER, attempt, outcome)
+            self.policy.attempt_ended(self.now + REFUSED_AFTER, attempt, outcome)
 
     def hand_in(self, interval: float) -> None:
         """Hand in one message, then advance the clock until the next one is due."""
         message = interface.Message(NEWS, self.destination, LIFETIME)
-        self.control.message_accepted(self.now, message)
+        self.policy.message_accepted(self.now, message)
         deadline = self.now + interval
-        while self.now < deadline and self.control.pending_count:
+        while self.now < deadline and self.policy.pending_count:
             self.turn()
-            self.control.timer_expired(self.now, "sweep")
+            self.policy.timer_expired(self.now, "sweep")
             self.now += STEP
         self.now = max(self.now, deadline)
 
--- a/tests/followers.py
+++ b/tests/followers.py
@@ -89,12 +89,12 @@
 
 
 class Receivers:
-    """Stub receivers with a common account, and the configuration entries for them."""
+    """Stub receivers with a common run record, and the configuration entries for them."""
 
     def __init__(self, names: dict[str, str], pace: float = 0.02, rate: float = 400.0) -> None:
-        self.account = RunRecord()
+        self.record = RunRecord()
         self.by_name = {
-            name: StubReceiver(name, destination_name, self.account, 1, rate, pace)
+            name: StubReceiver(name, destination_name, self.record, 1, rate, pace)
             for name, destination_name in names.items()
         }
 
@@ -217,7 +217,7 @@
     await receivers.start()
     addresses = [*controllers]
     dispatchers = [
-        Follower(folder / f"d{number}", f"d{number}", receivers.account, addresses)
+        Follower(folder / f"d{number}", f"d{number}", receivers.record, addresses)
         for number in range(1, count + 1)
     ]
     try:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -368,9 +368,9 @@
         "s1": {"news": 4.0, "order": 5.0, "charge": 5.0},
     }
     assert (routes["n1"].destination.window, routes["s1"].destination.window) == (4, float("inf"))
-    mail = terms.new_message(terms.classes["charge"], "north", 10.0)
-    assert mail.terms and (mail.terms.importance, mail.terms.max_attempts) == (9.0, 2)
-    assert mail.terms.max_retry_after == 0.5
+    message = terms.new_message(terms.classes["charge"], "north", 10.0)
+    assert message.terms and (message.terms.importance, message.terms.max_attempts) == (9.0, 2)
+    assert message.terms.max_retry_after == 0.5
     assert terms.new_message(terms.classes["charge"], "south", 10.0).terms is None
 
 
--- a/tests/test_controlled.py
+++ b/tests/test_controlled.py
@@ -36,7 +36,7 @@
 
 
 def deliveries(receivers: Receivers) -> Counter[str]:
-    return Counter(call.message for call in receivers.account.calls)
+    return Counter(call.message for call in receivers.record.calls)
 
 
 async def wait_until(condition: Any, seconds: float = 10.0) -> None:
@@ -85,7 +85,7 @@
             for number in range(20):
                 assert await dispatcher.submit(f"x{number}") == b"OK"
             await dispatcher.wait_for_counter("held", 0)
-            assert {call.receiver for call in receivers.account.calls if call.message != "m1"} == {"n2"}
+            assert {call.receiver for call in receivers.record.calls if call.message != "m1"} == {"n2"}
             assert controller.versions("d1") == [1, 2]
             await controller.stop()
 
--- a/tests/test_controlled_faults.py
+++ b/tests/test_controlled_faults.py
@@ -54,7 +54,7 @@
             assert await controller.in_force(2) < 2
             assert version == 2
             await check_served(dispatchers, receivers, "m")
-            assert {call.receiver for call in receivers.account.calls} == {"n2"}
+            assert {call.receiver for call in receivers.record.calls} == {"n2"}
             with pytest.raises(RejectedError):
                 await controller.accept(removal("n1"))
             status = await controller.status()
@@ -183,7 +183,7 @@
             await asyncio.gather(*(each.launch() for each in dispatchers))
             assert await controller.in_force(4) < SETTLE_TIME
             await check_served(dispatchers, receivers, "m")
-            assert {call.receiver for call in receivers.account.calls} == {"n2"}
+            assert {call.receiver for call in receivers.record.calls} == {"n2"}
             assert "spoilt on disk" in corrupted.logged()
             for each in (old, torn):
                 assert "spoilt on disk" not in each.logged()
@@ -334,7 +334,7 @@
             assert controller.versions_subscribed(behind.name)[-1] == (1, True)
             assert await controller.in_force(2) < SETTLE_TIME
             await check_served([running, behind], receivers, "m")
-            assert {call.receiver for call in receivers.account.calls} == {"n2"}
+            assert {call.receiver for call in receivers.record.calls} == {"n2"}
             await controller.kill()
 
     run(scenario())
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -39,7 +39,7 @@
     driver = PolicyDriver(instances=200, connect_timeout=1.5, max_attempts=9)
     driver.update_list("north/1")
     ended, due = 0, driver.now
-    for step in range(200):  # ten seconds, ten mails a second; two fail 0.8 s apart, the next is served
+    for step in range(200):  # ten seconds, ten messages a second; two fail 0.8 s apart, the next is served
         if step % 2 == 0:
             driver.accept(f"m{step}", "redeliverable", lifetime=30.0)
         driver.advance(0.05)
